--- a/tests/compatibility/production/crash_message_generated.h
+++ b/tests/compatibility/production/crash_message_generated.h
@@ -84,7 +84,8 @@
   typedef CrashMessageBuilder Builder;
   enum FlatBuffersVTableOffset FLATBUFFERS_VTABLE_UNDERLYING_TYPE {
     VT_BROKEN = 4,
-    VT_ANSWERED = 6
+    VT_ANSWERED = 6,
+    VT_SUSPECTED = 8
   };
   const flatbuffers::Vector<const chalkshed::production_wire::BrokenRun *> *broken() const {
     return GetPointer<const flatbuffers::Vector<const chalkshed::production_wire::BrokenRun *> *>(VT_BROKEN);
@@ -92,12 +93,17 @@
   const flatbuffers::Vector<const chalkshed::production_wire::AnsweredRun *> *answered() const {
     return GetPointer<const flatbuffers::Vector<const chalkshed::production_wire::AnsweredRun *> *>(VT_ANSWERED);
   }
+  const flatbuffers::Vector<const chalkshed::production_wire::BrokenRun *> *suspected() const {
+    return GetPointer<const flatbuffers::Vector<const chalkshed::production_wire::BrokenRun *> *>(VT_SUSPECTED);
+  }
   bool Verify(flatbuffers::Verifier &verifier) const {
     return VerifyTableStart(verifier) &&
            VerifyOffset(verifier, VT_BROKEN) &&
            verifier.VerifyVector(broken()) &&
            VerifyOffset(verifier, VT_ANSWERED) &&
            verifier.VerifyVector(answered()) &&
+           VerifyOffset(verifier, VT_SUSPECTED) &&
+           verifier.VerifyVector(suspected()) &&
            verifier.EndTable();
   }
 };
@@ -112,6 +118,9 @@
   void add_answered(flatbuffers::Offset<flatbuffers::Vector<const chalkshed::production_wire::AnsweredRun *>> answered) {
     fbb_.AddOffset(CrashMessage::VT_ANSWERED, answered);
   }
+  void add_suspected(flatbuffers::Offset<flatbuffers::Vector<const chalkshed::production_wire::BrokenRun *>> suspected) {
+    fbb_.AddOffset(CrashMessage::VT_SUSPECTED, suspected);
+  }
   explicit CrashMessageBuilder(flatbuffers::FlatBufferBuilder &_fbb)
         : fbb_(_fbb) {
     start_ = fbb_.StartTable();
@@ -126,8 +135,10 @@
 inline flatbuffers::Offset<CrashMessage> CreateCrashMessage(
     flatbuffers::FlatBufferBuilder &_fbb,
     flatbuffers::Offset<flatbuffers::Vector<const chalkshed::production_wire::BrokenRun *>> broken = 0,
-    flatbuffers::Offset<flatbuffers::Vector<const chalkshed::production_wire::AnsweredRun *>> answered = 0) {
+    flatbuffers::Offset<flatbuffers::Vector<const chalkshed::production_wire::AnsweredRun *>> answered = 0,
+    flatbuffers::Offset<flatbuffers::Vector<const chalkshed::production_wire::BrokenRun *>> suspected = 0) {
   CrashMessageBuilder builder_(_fbb);
+  builder_.add_suspected(suspected);
   builder_.add_answered(answered);
   builder_.add_broken(broken);
   return builder_.Finish();
@@ -136,13 +147,16 @@
 inline flatbuffers::Offset<CrashMessage> CreateCrashMessageDirect(
     flatbuffers::FlatBufferBuilder &_fbb,
     const std::vector<chalkshed::production_wire::BrokenRun> *broken = nullptr,
-    const std::vector<chalkshed::production_wire::AnsweredRun> *answered = nullptr) {
+    const std::vector<chalkshed::production_wire::AnsweredRun> *answered = nullptr,
+    const std::vector<chalkshed::production_wire::BrokenRun> *suspected = nullptr) {
   auto broken__ = broken ? _fbb.CreateVectorOfStructs<chalkshed::production_wire::BrokenRun>(*broken) : 0;
   auto answered__ = answered ? _fbb.CreateVectorOfStructs<chalkshed::production_wire::AnsweredRun>(*answered) : 0;
+  auto suspected__ = suspected ? _fbb.CreateVectorOfStructs<chalkshed::production_wire::BrokenRun>(*suspected) : 0;
   return chalkshed::production_wire::CreateCrashMessage(
       _fbb,
       broken__,
-      answered__);
+      answered__,
+      suspected__);
 }
 
 inline const chalkshed::production_wire::CrashMessage *GetCrashMessage(const void *buf) {
