--- a/src/batch/batch_format.h
+++ b/src/batch/batch_format.h
@@ -1,4 +1,4 @@
-// JSON forms of jobs for callers and operators.
+// JSON representations of jobs for callers and operators.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 std::string format_batch(const JobReport& report);
 // The list object of the OpenAI API.
 std::string format_batch_list(const JobPage& page);
-// What operators see: the batch object with tenant and chunks.
+// The batch object extended with tenant and chunk counts, for operators.
 std::string format_admin_job(const JobReport& report);
 std::string format_admin_jobs(const JobPage& page);
 
--- a/src/batch/batch_item.cc
+++ b/src/batch/batch_item.cc
@@ -8,11 +8,11 @@
 using nlohmann::json;
 
 constexpr size_t kMaxCustomIdBytes = 512;
-// Arrays and objects inside one another. The library writes and copies values by recursion, so an
-// unbounded depth would let one caller overflow the stack and end the node.
+// Maximum nesting depth of arrays and objects. The JSON library serializes and copies values
+// recursively, so unbounded nesting would let a caller overflow the stack and crash the node.
 constexpr int kMaxNesting = 64;
 
-Error bad_item(std::string message) {
+Error invalid_item(std::string message) {
   return not_run(ErrorKind::kInvalidRequest, std::move(message),
                  "each line is {\"custom_id\", \"method\": \"POST\", \"url\", \"body\"}");
 }
@@ -27,7 +27,7 @@
   return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-// Values nested too deeply are left out of the result and told by `too_deep`.
+// Values nested too deeply are dropped from the result and set `too_deep`.
 json parse_bounded(std::string_view line, bool& too_deep) {
   const json::parser_callback_t check = [&](int depth, json::parse_event_t, json&) {
     too_deep = too_deep || depth > kMaxNesting;
@@ -42,31 +42,31 @@
   bool too_deep = false;
   const json object = parse_bounded(line, too_deep);
   if (too_deep) {
-    return tl::unexpected(
-        bad_item("the line nests values over " + std::to_string(kMaxNesting) + " levels deep"));
+    return tl::unexpected(invalid_item("the line nests values more than " +
+                                       std::to_string(kMaxNesting) + " levels deep"));
   }
   if (object.is_discarded() || !object.is_object()) {
-    return tl::unexpected(bad_item("the line is not a JSON object"));
+    return tl::unexpected(invalid_item("the line is not a JSON object"));
   }
   const std::string* custom_id = find_string(object, "custom_id");
   if (custom_id == nullptr || custom_id->empty() || custom_id->size() > kMaxCustomIdBytes) {
-    return tl::unexpected(bad_item("\"custom_id\" must be a string of 1 to 512 bytes"));
+    return tl::unexpected(invalid_item("\"custom_id\" must be a string of 1 to 512 bytes"));
   }
   const std::string* method = find_string(object, "method");
   if (method == nullptr || *method != "POST") {
-    return tl::unexpected(bad_item("\"method\" must be \"POST\""));
+    return tl::unexpected(invalid_item("\"method\" must be \"POST\""));
   }
   const std::string* url = find_string(object, "url");
   if (url == nullptr) {
-    return tl::unexpected(bad_item("\"url\" must be a string"));
+    return tl::unexpected(invalid_item("\"url\" must be a string"));
   }
   const auto body = object.find("body");
   if (body == object.end() || !body->is_object()) {
-    return tl::unexpected(bad_item("\"body\" must be an object"));
+    return tl::unexpected(invalid_item("\"body\" must be an object"));
   }
   auto request = parse_completion_request(*url, dump(*body));
   if (!request) {
-    return tl::unexpected(bad_item(request.error().message));
+    return tl::unexpected(invalid_item(request.error().message));
   }
   return BatchItem{*custom_id, *url, std::move(*request)};
 }
--- a/src/batch/batch_item.h
+++ b/src/batch/batch_item.h
@@ -1,4 +1,4 @@
-// Lines of a batch: reading of input lines and writing of output lines. Pure functions.
+// Parses input lines and formats output lines of a batch job. Pure functions.
 #pragma once
 
 #include <string>
@@ -19,12 +19,12 @@
 // Errors, all Ran::kNo: kInvalidRequest (the message names the field).
 Expected<BatchItem> parse_batch_item(std::string_view line);
 
-// Output line of an item that was answered, without the line end.
-// @param completion JSON body of the answer, see format_completion().
+// Formats the output line of a completed item, without the newline.
+// @param completion JSON body of the response, see format_completion().
 std::string format_item_answer(const std::string& request_id, const std::string& custom_id,
                                const std::string& completion);
 
-// Output line of an item that failed for good, without the line end.
+// Formats the output line of an item that failed permanently, without the newline.
 std::string format_item_error(const std::string& request_id, const std::string& custom_id,
                               const Error& error);
 
--- a/src/batch/batch_metrics.h
+++ b/src/batch/batch_metrics.h
@@ -1,4 +1,4 @@
-// Instruments of the batch role.
+// Metrics of the batch role.
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
  public:
   explicit BatchMetrics(MetricsRegistry& registry);
 
-  void count_chunk_end(ChunkEnd how);
+  void count_chunk_outcome(ChunkOutcome outcome);
 
   Counter& jobs_accepted;
   Counter& jobs_resent;
--- a/src/batch/batch_peers.h
+++ b/src/batch/batch_peers.h
@@ -1,5 +1,5 @@
-// Hints between the batch roles of the nodes. They only save time: what they tell stands in the
-// table, where every node looks at an interval.
+// Notifications between the batch roles of the nodes. They only reduce latency: every node also
+// polls the table, which holds the same information.
 #pragma once
 
 #include <functional>
@@ -22,10 +22,10 @@
   BatchPeers(const NodeIdentity& identity, NodeDependencies& dependencies,
              const MembershipView& membership, Events events);
 
-  // Tells the node of a session that a job is cancelled.
-  void tell_cancelled(const std::string& session, const JobId& job);
-  // Tells other nodes, no more than the job has chunks, that a job was accepted.
-  void tell_accepted(const OpenJobRow& job, RowVersion version);
+  // Notifies the node that owns a session that a job is cancelled.
+  void notify_cancelled(const std::string& session, const JobId& job);
+  // Notifies other nodes, at most as many as the job has chunks, that a job was accepted.
+  void notify_accepted(const OpenJobRow& job, RowVersion version);
 
  private:
   void on_cancel_call(const std::string& body);
--- a/src/batch/batch_rows.cc
+++ b/src/batch/batch_rows.cc
@@ -19,7 +19,8 @@
   return digits;
 }
 
-// Tenants and keys are chosen by people; the length keeps "a/b" + "c" apart from "a" + "b/c".
+// Tenant names and keys are arbitrary strings; the length prefix distinguishes "a/b" + "c" from "a"
+// + "b/c".
 std::string length_prefixed(const std::string& name) {
   return std::to_string(name.size()) + ":" + name + "/";
 }
@@ -36,7 +37,7 @@
   } catch (const json::exception& exception) {
     return tl::unexpected(
         not_run(ErrorKind::kInternal,
-                std::string("the table holds a broken ") + what + " row: " + exception.what(),
+                std::string("the table contains a malformed ") + what + " row: " + exception.what(),
                 "report this as a defect of chalkshed and keep the row"));
   }
 }
--- a/src/batch/batch_rows.h
+++ b/src/batch/batch_rows.h
@@ -1,4 +1,4 @@
-// Rows that the batch role keeps in the table service, and their keys. Values are JSON.
+// Rows that the batch role stores in the table service, and their keys. Values are JSON.
 #pragma once
 
 #include <cstdint>
@@ -14,39 +14,39 @@
 
 using JobId = std::string;
 
-// What is known of a job from its acceptance on; never changes.
+// Immutable description of a job, written at acceptance.
 struct JobRow {
   JobId id;
   std::string tenant;
   std::string endpoint;      // path of the first item, as the OpenAI batch object shows it
   uint64_t created_us = 0;   // wall clock, Unix time in microseconds
-  uint64_t deadline_us = 0;  // wall clock; orders jobs, nothing else
+  uint64_t deadline_us = 0;  // wall clock; only used to order jobs
   uint32_t items = 0;
-  uint32_t chunk_items = 0;  // items of every chunk but the last
+  uint32_t chunk_items = 0;  // items of every chunk except the last
   uint32_t chunks = 0;
   std::vector<std::string> models;  // distinct, in the order of their first use
 };
 
-// Work list entry of a job that has not ended. Deleted by the transaction that ends the job.
+// Entry of a job that has not ended. Deleted by the transaction that ends the job.
 struct OpenJobRow {
   JobRow job;
   bool cancelled = false;
 };
 
-// Ties a tenant's idempotency key to the job that it named first.
+// Maps a tenant's idempotency key to the job that was first submitted with it.
 struct IdempotencyRow {
   JobId job;
   std::string body_digest;
 };
 
 enum class ChunkState {
-  kPending,  // given back by its owner; a chunk nobody ever claimed has no row at all
+  kPending,  // released by its owner; a chunk that was never claimed has no row
   kRunning,  // owned by a session
-  kDone,     // the result object holds one line for every item
+  kDone,     // the result object contains one line per item
   kStopped,  // its owner confirmed that it stopped because the job was cancelled
 };
 
-// State of one chunk. Every claim raises the epoch.
+// State of one chunk. Every claim increments the epoch.
 struct ChunkRow {
   ChunkState state = ChunkState::kPending;
   uint64_t epoch = 0;
@@ -66,7 +66,7 @@
   uint32_t failed = 0;
 };
 
-// Lease of one node's batch role; chunk rows refer to it.
+// Lease of one node's batch role, referenced by chunk rows.
 struct SessionRow {
   std::string node;
   std::string nonce;  // changes with every renewal
@@ -87,10 +87,10 @@
 inline constexpr const char* kTenantJobTable = "batch_tenant_job";
 inline constexpr const char* kChunkTable = "batch_chunk";
 
-// Prefix of the keys of a job's chunks, and the number of the chunk of such a key.
+// Key prefix of a job's chunks, and the chunk number parsed from such a key.
 std::string chunk_prefix(const JobId& job);
 std::optional<uint32_t> chunk_number(std::string_view key);
-// Prefix of the keys of a tenant's jobs in kTenantJobTable.
+// Key prefix of a tenant's jobs in kTenantJobTable.
 std::string tenant_prefix(const std::string& tenant);
 
 // Names of objects. A result's name is unique to the attempt.
@@ -105,7 +105,7 @@
 std::string encode(const JobEndRow& row);
 std::string encode(const SessionRow& row);
 
-// Errors: kInternal when the value is not such a row.
+// Errors: kInternal when the value cannot be decoded.
 Expected<JobRow> decode_job(const std::string& value);
 Expected<OpenJobRow> decode_open_job(const std::string& value);
 Expected<IdempotencyRow> decode_idempotency(const std::string& value);
--- a/src/batch/batch_runner.cc
+++ b/src/batch/batch_runner.cc
@@ -21,14 +21,14 @@
       lease_(identity, dependencies, store, knobs,
              {[this] { on_lease_valid(); }, [this] { on_lease_lapsed(); },
               [this] { on_lease_lost(); }}),
-      finder_(identity, dependencies, membership, store, board_, knobs,
+      finder_(identity, dependencies, membership, store, open_jobs_, knobs,
               {[this](const JobId& job) { on_job_cancelled(job); },
                [this] {
                  chunks_scanned_ = true;
-                 pump_later();
+                 schedule_pass();
                }}),
       claimer_(store, lease_, knobs),
-      pump_timer_(dependencies.dispatcher.create_timer([this] { pump(); })),
+      pass_timer_(dependencies.dispatcher.create_timer([this] { run_pass(); })),
       drain_timer_(dependencies.dispatcher.create_timer([this] {
         for (const auto& [id, chunk] : chunks_) {
           chunk->release();
@@ -37,28 +37,28 @@
 
 void BatchRunner::start() {
   started_ = true;
-  slots_.subscribe(lifetime_.guard([this] { pump_later(); }));
+  slots_.subscribe(lifetime_.guard([this] { schedule_pass(); }));
   finder_.start();
 }
 
 void BatchRunner::on_job_accepted(const OpenJobRow& job, RowVersion version) {
-  board_.add(job, version);
-  pump_later();
+  open_jobs_.add(job, version);
+  schedule_pass();
 }
 
-// ---- pump ----
+// ---- scheduling pass ----
 
-void BatchRunner::pump_later() {
-  if (pump_posted_ || !started_) {
+void BatchRunner::schedule_pass() {
+  if (pass_posted_ || !started_) {
     return;
   }
-  pump_posted_ = true;
-  dependencies_.dispatcher.post(lifetime_.guard([this] { pump(); }));
+  pass_posted_ = true;
+  dependencies_.dispatcher.post(lifetime_.guard([this] { run_pass(); }));
 }
 
-void BatchRunner::pump() {
-  pump_posted_ = false;
-  forget_ended_jobs();
+void BatchRunner::run_pass() {
+  pass_posted_ = false;
+  prune_cancelled_jobs();
   close_idle_session();
   adopt_cancelled_chunks();
   release_idle_chunks();
@@ -92,10 +92,10 @@
     metrics_.items_started.add(1);
     ++started;
   }
-  pump_later();
+  schedule_pass();
 }
 
-// The chunk whose item goes next: by the tenants' shares, then by deadline.
+// Selects the chunk whose item is started next: by tenant share, then by deadline.
 ChunkRun* BatchRunner::next_chunk(std::set<std::string>& blocked, ChunkRun::Startable& startable) {
   using Rank = std::tuple<double, uint64_t, JobId, uint32_t>;
   ChunkRun* best = nullptr;
@@ -121,7 +121,7 @@
   if (slot == nullptr || slot->worker() != startable.avoided_worker) {
     return slot;
   }
-  // One try for a worker other than the one that failed the item.
+  // Tries once to get a worker other than the one on which the item failed.
   BatchSlotPtr other = slots_.try_acquire(startable.service, startable.prompt_tokens);
   return other == nullptr ? std::move(slot) : std::move(other);
 }
@@ -142,44 +142,44 @@
       lease_.open();
       return;
     }
-    if (candidate->takeover && !take_takeover()) {
+    if (candidate->takeover && !admit_takeover()) {
       return;
     }
     claim(*candidate);
   }
 }
 
-// The chunk to claim next: by the tenants' shares, then by deadline.
+// Selects the chunk to claim next: by tenant share, then by deadline.
 std::optional<ClaimCandidate> BatchRunner::next_candidate() {
   using Rank = std::tuple<double, uint64_t, JobId>;
   const auto claimable = [this](const std::string& session) {
-    return finder_.session_dead(session) || (!session.empty() && session == lease_.session());
+    return finder_.is_session_dead(session) || (!session.empty() && session == lease_.session());
   };
-  // Whether or not there is room for it: held, it is given back when it stays idle.
+  // Claimed regardless of free capacity: if it stays idle, it is released again.
   if (chunks_scanned_ && !lease_.session().empty()) {
-    if (auto unheld = board_.unheld_chunk_of(lease_.session())) {
+    if (auto unheld = open_jobs_.unheld_chunk_owned_by(lease_.session())) {
       return unheld;
     }
     chunks_scanned_ = false;
   }
   const ConfigurationPtr configuration = configuration_.current();
-  if (configuration == nullptr || board_.jobs().empty()) {
+  if (configuration == nullptr || open_jobs_.jobs().empty()) {
     return std::nullopt;
   }
   const WorkDemand demand(*configuration, slots_, chunks_, claimed_items_);
-  if (!demand.wants_any()) {
+  if (!demand.has_capacity()) {
     return std::nullopt;
   }
   std::vector<std::pair<Rank, const CachedJob*>> ranking;
-  for (const auto& [id, job] : board_.jobs()) {
-    if (!job.row.cancelled && demand.wants(job.row.job)) {
+  for (const auto& [id, job] : open_jobs_.jobs()) {
+    if (!job.row.cancelled && demand.has_capacity_for(job.row.job)) {
       const JobRow& row = job.row.job;
       ranking.emplace_back(Rank(claim_shares_.start_tag(row.tenant), row.deadline_us, id), &job);
     }
   }
   std::sort(ranking.begin(), ranking.end());
   for (const auto& [rank, job] : ranking) {
-    auto candidate = board_.candidate(job->row.job.id, claimable);
+    auto candidate = open_jobs_.candidate(job->row.job.id, claimable);
     if (candidate) {
       return candidate;
     }
@@ -187,11 +187,11 @@
   return std::nullopt;
 }
 
-// Takeovers after the loss of many nodes are spread out, so that they do not crowd the store.
-bool BatchRunner::take_takeover() {
+// Rate-limits takeovers so that the loss of many nodes does not overload the store.
+bool BatchRunner::admit_takeover() {
   const MonotonicTime now = dependencies_.time_source.monotonic_now();
   if (now < next_takeover_) {
-    pump_timer_->enable(next_takeover_ - now);
+    pass_timer_->enable(next_takeover_ - now);
     return false;
   }
   const Duration interval = store_.shared_interval(knobs_.takeovers_per_second, Duration(0));
@@ -200,9 +200,9 @@
 }
 
 void BatchRunner::claim(const ClaimCandidate& candidate) {
-  board_.set_held(candidate.job, candidate.chunk, true);
+  open_jobs_.set_held(candidate.job, candidate.chunk, true);
   ++claims_in_flight_;
-  const CachedJob* known = board_.find(candidate.job);
+  const CachedJob* known = open_jobs_.find(candidate.job);
   const uint32_t items = known == nullptr ? 0 : known->row.job.chunk_items;
   claimed_items_ += items;
   claimer_.claim(candidate,
@@ -210,36 +210,36 @@
                    --claims_in_flight_;
                    claimed_items_ -= items;
                    on_claim(candidate, result);
-                   pump_later();
+                   schedule_pass();
                  }));
 }
 
 void BatchRunner::on_claim(const ClaimCandidate& candidate, const ChunkClaimResult& result) {
-  if (result.end == ClaimEnd::kClaimed) {
+  if (result.end == ClaimOutcome::kClaimed) {
     if (candidate.takeover) {
       metrics_.takeovers.add(1);
     }
     hold(candidate, result);
     return;
   }
-  board_.set_held(candidate.job, candidate.chunk, false);
-  CachedJob* known = board_.find(candidate.job);
+  open_jobs_.set_held(candidate.job, candidate.chunk, false);
+  CachedJob* known = open_jobs_.find(candidate.job);
   if (known == nullptr) {
     return;
   }
-  if (result.end == ClaimEnd::kCancelled) {
+  if (result.end == ClaimOutcome::kCancelled) {
     on_job_cancelled(candidate.job);
     return;
   }
-  if (result.end == ClaimEnd::kFailed) {
+  if (result.end == ClaimOutcome::kFailed) {
     finder_.refresh(candidate.job);
     return;
   }
   if (result.version != 0) {
-    board_.update_chunk(candidate.job, candidate.chunk, result.row, result.version);
+    open_jobs_.update_chunk(candidate.job, candidate.chunk, result.row, result.version);
     return;
   }
-  // Taken by someone unknown; a version of 0 would have it claimed again at once.
+  // Claimed by an unknown session; leaving version 0 would cause an immediate retry of the claim.
   CachedChunk& chunk = known->chunks[candidate.chunk];
   chunk.state = ChunkState::kRunning;
   chunk.owner.clear();
@@ -250,19 +250,20 @@
 }
 
 void BatchRunner::hold(const ClaimCandidate& candidate, const ChunkClaimResult& result) {
-  board_.update_chunk(candidate.job, candidate.chunk, result.row, result.version);
-  const CachedJob* known = board_.find(candidate.job);
+  open_jobs_.update_chunk(candidate.job, candidate.chunk, result.row, result.version);
+  const CachedJob* known = open_jobs_.find(candidate.job);
   if (known == nullptr) {
-    return;  // ended meanwhile; the row is no longer of use to anybody
+    return;  // the job has ended in the meantime; its chunk rows are no longer used
   }
   const ChunkId id{candidate.job, candidate.chunk};
   const JobRow& job = known->row.job;
   const double weight = tenant_weight(job, job.models.empty() ? "" : job.models.front());
   claim_shares_.charge(job.tenant, job.chunk_items, weight);
   ChunkRun::Events events;
-  events.on_ready = [this] { pump_later(); };
-  events.on_end = [this, id](ChunkEnd how) {
-    dependencies_.dispatcher.post(lifetime_.guard([this, id, how] { on_chunk_end(id, how); }));
+  events.on_ready = [this] { schedule_pass(); };
+  events.on_end = [this, id](ChunkOutcome outcome) {
+    dependencies_.dispatcher.post(
+        lifetime_.guard([this, id, outcome] { on_chunk_end(id, outcome); }));
   };
   events.on_item_charge = [this, tenant = job.tenant, weight](double cost) {
     start_shares_.charge(tenant, cost, weight);
@@ -282,21 +283,21 @@
   }
 }
 
-void BatchRunner::on_chunk_end(const ChunkId& id, ChunkEnd how) {
+void BatchRunner::on_chunk_end(const ChunkId& id, ChunkOutcome outcome) {
   const auto found = chunks_.find(id);
   if (found == chunks_.end()) {
     return;
   }
   chunks_.erase(found);
-  metrics_.count_chunk_end(how);
-  CachedJob* known = board_.find(id.job);
+  metrics_.count_chunk_outcome(outcome);
+  CachedJob* known = open_jobs_.find(id.job);
   if (known != nullptr) {
     CachedChunk& chunk = known->chunks[id.number];
     chunk.held = false;
-    if (how == ChunkEnd::kDone) {
+    if (outcome == ChunkOutcome::kDone) {
       chunk.state = ChunkState::kDone;
     } else {
-      // Not for us to take again before a scan has told its new state.
+      // Must not be claimed again before a scan has read its new state.
       chunk.owner.clear();
       finder_.refresh(id.job);
     }
@@ -304,29 +305,30 @@
   if (draining_ && chunks_.empty() && claims_in_flight_ == 0) {
     finish_drain();
   }
-  pump_later();
+  schedule_pass();
 }
 
-// A node without work renews no lease.
+// Closes the session of a node without work instead of renewing its lease.
 void BatchRunner::close_idle_session() {
   const MonotonicTime now = dependencies_.time_source.monotonic_now();
-  if (!chunks_.empty() || claims_in_flight_ > 0 || !board_.jobs().empty()) {
+  if (!chunks_.empty() || claims_in_flight_ > 0 || !open_jobs_.jobs().empty()) {
     last_held_ = now;
   } else if (lease_.valid() && now - last_held_ > knobs_.idle_session) {
     lease_.close([] {});
   }
 }
 
-// A claim whose answer was lost for good may have taken effect: this session owns a chunk that it
-// does not hold. An open job's is claimed anew; a cancelled job's must be confirmed as stopped.
+// A claim whose response was lost may have been committed, so that the row names this session as
+// owner although the node does not hold the chunk. Chunks of open jobs are claimed again; chunks of
+// cancelled jobs must be confirmed as stopped.
 void BatchRunner::adopt_cancelled_chunks() {
   if (!chunks_scanned_ || lease_.session().empty()) {
     return;
   }
-  for (const ClaimCandidate& orphan : board_.cancelled_chunks_of(lease_.session())) {
-    board_.set_held(orphan.job, orphan.chunk, true);
+  for (const ClaimCandidate& orphan : open_jobs_.cancelled_chunks_owned_by(lease_.session())) {
+    open_jobs_.set_held(orphan.job, orphan.chunk, true);
     ChunkClaimResult result;
-    result.end = ClaimEnd::kClaimed;
+    result.end = ClaimOutcome::kClaimed;
     result.row = {ChunkState::kRunning, orphan.epoch, lease_.session(), "", 0, 0};
     result.version = orphan.version;
     cancelled_jobs_.insert(orphan.job);
@@ -334,11 +336,11 @@
   }
 }
 
-void BatchRunner::forget_ended_jobs() {
+void BatchRunner::prune_cancelled_jobs() {
   std::erase_if(cancelled_jobs_, [this](const JobId& job) {
     const auto chunk = chunks_.lower_bound(ChunkId{job, 0});
     const bool holds_chunk = chunk != chunks_.end() && chunk->first.job == job;
-    return !holds_chunk && claims_in_flight_ == 0 && board_.find(job) == nullptr;
+    return !holds_chunk && claims_in_flight_ == 0 && open_jobs_.find(job) == nullptr;
   });
 }
 
@@ -346,20 +348,21 @@
   const MonotonicTime now = dependencies_.time_source.monotonic_now();
   for (const auto& [id, chunk] : chunks_) {
     const auto idle_since = chunk->idle_since();
-    // With results too: they are lost, but a node that holds no worker any more never gets further.
+    // Released even if it has results: these are lost, but a node that no longer has workers would
+    // never make progress.
     if (idle_since && now - *idle_since > knobs_.idle_chunk_release) {
       chunk->release();
     }
   }
 }
 
-// ---- leases, cancelling, draining ----
+// ---- leases, cancellation, draining ----
 
 void BatchRunner::on_lease_valid() {
   for (const auto& [id, chunk] : chunks_) {
     chunk->resume();
   }
-  pump_later();
+  schedule_pass();
 }
 
 void BatchRunner::on_lease_lapsed() {
@@ -378,17 +381,17 @@
     return;
   }
   for (const auto& [id, chunk] : chunks_) {
-    board_.set_held(id.job, id.number, false);
+    open_jobs_.set_held(id.job, id.number, false);
   }
   chunks_.clear();
   if (draining_ && claims_in_flight_ == 0) {
     finish_drain();
   }
-  pump_later();
+  schedule_pass();
 }
 
 void BatchRunner::on_job_cancelled(const JobId& job) {
-  board_.mark_cancelled(job);
+  open_jobs_.mark_cancelled(job);
   cancelled_jobs_.insert(job);
   for (const auto& [id, chunk] : chunks_) {
     if (id.job == job) {
--- a/src/batch/batch_runner.h
+++ b/src/batch/batch_runner.h
@@ -1,5 +1,5 @@
-// Runs batch work on this node: claims chunks while workers have room for batch, starts their
-// items, and gives everything back when the node stops.
+// Runs batch work on this node: claims chunks while workers have free batch capacity, starts their
+// items, and releases all chunks when the node stops.
 #pragma once
 
 #include <functional>
@@ -27,33 +27,33 @@
               const BatchKnobs& knobs);
 
   void start();
-  // Claims nothing more; ends when the chunks held are done or, after a grace, given back.
+  // Stops claiming; finishes when the held chunks are done or, after a grace period, released.
   void drain(std::function<void()> done);
-  // A job that this node or a peer has just accepted.
+  // Called when this node or a peer has accepted a job.
   void on_job_accepted(const OpenJobRow& job, RowVersion version);
-  // A job is known to be cancelled: stops its items at once.
+  // Called when a job is known to be cancelled: stops its items immediately.
   void on_job_cancelled(const JobId& job);
 
   size_t chunks_held() const { return chunks_.size(); }
 
  private:
-  void pump_later();
-  void pump();
+  void schedule_pass();
+  void run_pass();
   void start_items();
   ChunkRun* next_chunk(std::set<std::string>& blocked, ChunkRun::Startable& startable);
   BatchSlotPtr acquire(const ChunkRun::Startable& startable);
   void claim_chunks();
   std::optional<ClaimCandidate> next_candidate();
-  bool take_takeover();
+  bool admit_takeover();
   void claim(const ClaimCandidate& candidate);
   void on_claim(const ClaimCandidate& candidate, const ChunkClaimResult& result);
   void hold(const ClaimCandidate& candidate, const ChunkClaimResult& result);
-  void on_chunk_end(const ChunkId& id, ChunkEnd how);
+  void on_chunk_end(const ChunkId& id, ChunkOutcome outcome);
   void on_lease_valid();
   void on_lease_lapsed();
   void on_lease_lost();
   void release_idle_chunks();
-  void forget_ended_jobs();
+  void prune_cancelled_jobs();
   void close_idle_session();
   void adopt_cancelled_chunks();
   void finish_drain();
@@ -66,7 +66,7 @@
   BatchStore& store_;
   BatchMetrics& metrics_;
   const BatchKnobs& knobs_;
-  OpenJobCache board_;
+  OpenJobCache open_jobs_;
   SessionLease lease_;
   WorkFinder finder_;
   ChunkClaimer claimer_;
@@ -74,17 +74,18 @@
   TenantShares start_shares_;  // in tokens
   size_t unsaved_result_bytes_ = 0;
   std::map<ChunkId, std::unique_ptr<ChunkRun>> chunks_;
-  std::set<JobId> cancelled_jobs_;  // of which chunks may still be claimed or held
+  std::set<JobId> cancelled_jobs_;  // whose chunks may still be claimed or held
   uint32_t claims_in_flight_ = 0;
-  uint32_t claimed_items_ = 0;  // of the claims in flight
+  uint32_t claimed_items_ = 0;  // items of the claims in flight
   MonotonicTime next_takeover_{};
   MonotonicTime last_held_{};  // when this node last held a chunk
-  bool pump_posted_ = false;
-  bool chunks_scanned_ = false;  // since unheld chunks of this session were looked for
+  bool pass_posted_ = false;
+  // Chunks were scanned since the last search for unheld chunks of this session.
+  bool chunks_scanned_ = false;
   bool started_ = false;
   bool draining_ = false;
   std::function<void()> drained_;
-  TimerPtr pump_timer_;
+  TimerPtr pass_timer_;
   TimerPtr drain_timer_;
   Lifetime lifetime_;
 };
--- a/src/batch/batch_service.cc
+++ b/src/batch/batch_service.cc
@@ -25,7 +25,8 @@
   return response;
 }
 
-// @return the value of a query parameter; job ids and numbers need no unescaping.
+// @return the value of a query parameter, not percent-decoded: job ids and numbers need no
+// escaping.
 std::optional<std::string> query_parameter(std::string_view query, std::string_view name) {
   while (!query.empty()) {
     const size_t end = std::min(query.find('&'), query.size());
@@ -49,8 +50,8 @@
   if (!number) {
     std::string message = "the parameter ";
     message.append(name).append("=").append(*text).append(" is not a number");
-    return tl::unexpected(not_run(ErrorKind::kInvalidRequest, std::move(message),
-                                  "give a whole number of at least 0"));
+    return tl::unexpected(
+        not_run(ErrorKind::kInvalidRequest, std::move(message), "use an integer of at least 0"));
   }
   return *number;
 }
@@ -60,11 +61,11 @@
 struct BatchService::Call {
   HttpRequest request;
   ResponseWriterPtr writer;
-  bool closed = false;  // answered, or the caller has gone
+  bool closed = false;  // responded, or the caller disconnected
   bool admin = false;
   std::string tenant;  // empty for operators
   JobId job;           // from the path; may be empty
-  std::string action;  // last part of the path; may be empty
+  std::string action;  // last path segment; may be empty
 
   void fail(const Error& error) { respond(error_response(error)); }
   void respond(const HttpResponse& response) {
@@ -107,7 +108,7 @@
   auto call = std::make_shared<Call>();
   call->request = std::move(request);
   call->writer = std::move(writer);
-  // A caller that goes away does not undo what it asked for.
+  // An operation continues when its caller disconnects.
   call->writer->set_on_closed([weak = std::weak_ptr<Call>(call)] {
     if (auto closed = weak.lock()) {
       closed->closed = true;
@@ -125,7 +126,7 @@
   if (!call->admin) {
     const ConfigurationPtr configuration = configuration_.current();
     if (configuration == nullptr) {
-      call->fail(not_run(ErrorKind::kUnavailable, "this node has not learned its configuration yet",
+      call->fail(not_run(ErrorKind::kUnavailable, "this node has not loaded its configuration yet",
                          "resend in a moment or to another node"));
       return;
     }
@@ -159,7 +160,8 @@
 
 void BatchService::submit(const CallPtr& call) {
   if (draining_) {
-    Error error = not_run(ErrorKind::kDraining, "this node is stopping", "send to another node");
+    Error error =
+        not_run(ErrorKind::kDraining, "this node is draining", "send the job to another node");
     error.retry_after = std::chrono::seconds(1);
     call->fail(error);
     return;
@@ -172,15 +174,15 @@
     if (!milliseconds || *milliseconds == 0) {
       call->fail(not_run(ErrorKind::kInvalidRequest,
                          "the header X-Chalkshed-Deadline-Ms is not a number above 0",
-                         "give the deadline in milliseconds from now"));
+                         "set the deadline in milliseconds from now"));
       return;
     }
     submission.deadline = std::chrono::milliseconds(*milliseconds);
   }
   const auto key = find_header(call->request.headers, kIdempotencyHeader);
   if (key && (key->empty() || key->size() > kMaxKeyBytes)) {
-    call->fail(not_run(ErrorKind::kInvalidRequest, "the Idempotency-Key has no valid length",
-                       "give a key of 1 to 256 bytes"));
+    call->fail(not_run(ErrorKind::kInvalidRequest, "the Idempotency-Key has an invalid length",
+                       "use a key of 1 to 256 bytes"));
     return;
   }
   submission.key =
@@ -199,18 +201,19 @@
     return;
   }
   accepting_bytes_ += bytes;
-  const uint64_t work = next_work_++;
+  const uint64_t operation_id = next_operation_id_++;
   auto acceptor = std::make_unique<JobAcceptor>(
       dependencies_, store_, knobs_, std::move(submission),
-      [this, call, work, bytes](const Expected<AcceptedJob>& job) {
+      [this, call, operation_id, bytes](const Expected<AcceptedJob>& job) {
         if (!job || job->recorded) {
           accepting_bytes_ -= bytes;
-          dependencies_.dispatcher.post(lifetime_.guard([this, work] { acceptors_.erase(work); }));
+          dependencies_.dispatcher.post(
+              lifetime_.guard([this, operation_id] { acceptors_.erase(operation_id); }));
         }
         on_submitted(call, job);
       });
   JobAcceptor* started = acceptor.get();
-  acceptors_[work] = std::move(acceptor);
+  acceptors_[operation_id] = std::move(acceptor);
   started->start();
 }
 
@@ -234,7 +237,7 @@
   report.job = job->row.job;
   call->respond(json_response(200, format_batch(report)));
   runner_.on_job_accepted(job->row, job->version);
-  peers_.tell_accepted(job->row, job->version);
+  peers_.notify_accepted(job->row, job->version);
 }
 
 void BatchService::list(const CallPtr& call) {
@@ -298,15 +301,15 @@
         if (call->closed) {
           return;
         }
-        const uint64_t work = next_work_++;
+        const uint64_t operation_id = next_operation_id_++;
         auto output = std::make_unique<OutputStream>(
             dependencies_, store_, knobs_, OutputRequest{std::move(*report), after, limit},
-            std::move(call->writer), [this, work] {
+            std::move(call->writer), [this, operation_id] {
               dependencies_.dispatcher.post(
-                  lifetime_.guard([this, work] { outputs_.erase(work); }));
+                  lifetime_.guard([this, operation_id] { outputs_.erase(operation_id); }));
             });
         OutputStream* started = output.get();
-        outputs_[work] = std::move(output);
+        outputs_[operation_id] = std::move(output);
         started->start();
       }));
 }
--- a/src/batch/batch_service.h
+++ b/src/batch/batch_service.h
@@ -1,4 +1,4 @@
-// The batch role of a node: callers' and operators' API, and the running of work.
+// The batch role of a node: the API for callers and operators, and the execution of jobs.
 #pragma once
 
 #include <functional>
@@ -19,12 +19,11 @@
 namespace chalkshed {
 
 // Serves
-//   POST /v1/batches                JSON Lines in; answers with the batch object once durable
-//   GET  /v1/batches                the tenant's jobs (?after=<id>&limit=<n>)
-//   GET  /v1/batches/{id}
-//   POST /v1/batches/{id}/cancel
-//   GET  /v1/batches/{id}/output    JSON Lines, one line an item (?after=<lines>&limit=<lines>)
-//   GET  /admin/jobs, GET /admin/jobs/{id}, POST /admin/jobs/{id}/cancel   jobs of all tenants
+//   POST /v1/batches                JSON Lines body; responds with the batch object once the job is
+//   durable GET  /v1/batches                the tenant's jobs (?after=<id>&limit=<n>) GET
+//   /v1/batches/{id} POST /v1/batches/{id}/cancel GET  /v1/batches/{id}/output    JSON Lines, one
+//   line per item (?after=<lines>&limit=<lines>) GET  /admin/jobs, GET /admin/jobs/{id}, POST
+//   /admin/jobs/{id}/cancel   jobs of all tenants
 class BatchService : public HttpHandler {
  public:
   BatchService(const NodeIdentity& identity, NodeDependencies& dependencies,
@@ -33,14 +32,14 @@
   ~BatchService() override;
 
   void start();
-  // Claims nothing more and ends when the chunks held are done or given back.
+  // Stops claiming and finishes when the held chunks are done or released.
   void drain(std::function<void()> done);
   void handle(HttpRequest request, ResponseWriterPtr writer) override;
 
   const BatchRunner& runner() const { return runner_; }
 
  private:
-  // A request on its way, with the path's parts behind the prefix.
+  // A request in progress, with the path segments after the prefix.
   struct Call;
   using CallPtr = std::shared_ptr<Call>;
 
@@ -64,7 +63,7 @@
   BatchRunner runner_;
   BatchPeers peers_;
   JobCanceller canceller_;
-  uint64_t next_work_ = 0;  // keys of the two maps below
+  uint64_t next_operation_id_ = 0;  // keys of the two maps below
   std::map<uint64_t, std::unique_ptr<JobAcceptor>> acceptors_;
   std::map<uint64_t, std::unique_ptr<OutputStream>> outputs_;
   size_t accepting_bytes_ = 0;
--- a/src/batch/batch_store.cc
+++ b/src/batch/batch_store.cc
@@ -8,18 +8,19 @@
 
 constexpr uint32_t kScanLimit = 1000;
 constexpr double kBurstSeconds = 1.0;
-constexpr double kLeastBurst = 20;
-constexpr uint32_t kLargestDoubling = 16;
-// Tries of a read that a caller waits for.
-constexpr uint32_t kCallerReadTries = 4;
-// How the rate follows a store that refuses for its rate limit: cut at each refusal (but once for
-// those of one moment), raised a little with each operation served.
-constexpr double kRateCut = 0.7;
-constexpr double kRateRaise = 1.01;
-constexpr double kLeastRateFactor = 0.002;
-constexpr Duration kRateCutSpacing = std::chrono::milliseconds(100);
-// Operations that may wait for their turn; more are refused.
-constexpr size_t kLongestQueue = 2000;
+constexpr double kMinBurst = 20;
+constexpr uint32_t kMaxDoublings = 16;
+// Attempts of a read that a caller waits for.
+constexpr uint32_t kMaxCallerReadAttempts = 4;
+// Adapts the rate to a store that rejects operations because of its rate limit: decreased
+// multiplicatively on a rejection, at most once per interval, and increased slightly with each
+// successful operation.
+constexpr double kRateDecreaseFactor = 0.7;
+constexpr double kRateIncreaseFactor = 1.01;
+constexpr double kMinRateFactor = 0.002;
+constexpr Duration kMinRateDecreaseInterval = std::chrono::milliseconds(100);
+// Maximum number of queued operations; further ones are rejected.
+constexpr size_t kMaxQueueLength = 2000;
 
 bool is_rate_limited(const Error& error) {
   return error.kind == ErrorKind::kStoreUnavailable && error.retry_after.has_value();
@@ -44,7 +45,7 @@
     : dependencies_(dependencies),
       membership_(membership),
       knobs_(knobs),
-      tokens_(kLeastBurst),
+      tokens_(kMinBurst),
       refilled_at_(dependencies.time_source.monotonic_now()),
       drain_timer_(dependencies.dispatcher.create_timer([this] { drain_queues(); })) {}
 
@@ -67,7 +68,7 @@
     return;
   }
   auto& queue = queues_[static_cast<size_t>(urgency)];
-  if (breaker_open() || queue.size() >= kLongestQueue) {
+  if (breaker_open() || queue.size() >= kMaxQueueLength) {
     dependencies_.dispatcher.post(lifetime_.guard(
         [refuse = std::move(operation.refuse), error = breaker_error()] { refuse(error); }));
     return;
@@ -103,7 +104,7 @@
   const MonotonicTime now = dependencies_.time_source.monotonic_now();
   const double rate = rate_factor_ * knobs_.store_operations_per_second / live_nodes();
   const double seconds = std::chrono::duration<double>(now - refilled_at_).count();
-  const double burst = rate_factor_ < 1 ? 1 : std::max(kLeastBurst, rate * kBurstSeconds);
+  const double burst = rate_factor_ < 1 ? 1 : std::max(kMinBurst, rate * kBurstSeconds);
   tokens_ = std::min(burst, tokens_ + seconds * rate);
   refilled_at_ = now;
 }
@@ -112,11 +113,11 @@
   if (error == nullptr || !is_store_failure(*error)) {
     consecutive_failures_ = 0;
     open_until_ = MonotonicTime{};
-    rate_factor_ = std::min(1.0, rate_factor_ * kRateRaise);
+    rate_factor_ = std::min(1.0, rate_factor_ * kRateIncreaseFactor);
     return;
   }
   if (is_rate_limited(*error)) {
-    cut_rate();
+    decrease_rate();
     return;
   }
   ++consecutive_failures_;
@@ -127,12 +128,12 @@
   open_until_ = dependencies_.time_source.monotonic_now() + pause;
 }
 
-void BatchStore::cut_rate() {
+void BatchStore::decrease_rate() {
   const MonotonicTime now = dependencies_.time_source.monotonic_now();
-  if (now - rate_cut_at_ >= kRateCutSpacing) {
-    rate_cut_at_ = now;
+  if (now - rate_decreased_at_ >= kMinRateDecreaseInterval) {
+    rate_decreased_at_ = now;
     refill();
-    rate_factor_ = std::max(kLeastRateFactor, rate_factor_ * kRateCut);
+    rate_factor_ = std::max(kMinRateFactor, rate_factor_ * kRateDecreaseFactor);
     tokens_ = 0;
   }
 }
@@ -142,14 +143,14 @@
 }
 
 Error BatchStore::breaker_error() const {
-  Error error = not_run(ErrorKind::kStoreUnavailable, "the platform's store does not answer",
-                        "resend with the same Idempotency-Key after the time given");
+  Error error = not_run(ErrorKind::kStoreUnavailable, "the platform's store does not respond",
+                        "resend with the same Idempotency-Key after the given time");
   error.retry_after = open_until_ - dependencies_.time_source.monotonic_now();
   return error;
 }
 
 Duration BatchStore::backoff(uint32_t failures) {
-  const uint32_t doublings = std::min(failures == 0 ? 0 : failures - 1, kLargestDoubling);
+  const uint32_t doublings = std::min(failures == 0 ? 0 : failures - 1, kMaxDoublings);
   const Duration ceiling =
       std::min(knobs_.store_backoff * (int64_t{1} << doublings), knobs_.store_backoff_limit);
   const auto half = static_cast<uint64_t>(ceiling.count() / 2);
@@ -176,24 +177,26 @@
   delayed_[id] = std::move(timer);
 }
 
-// Gives a read that a caller waits for some more tries. Its last error says that nothing was
-// changed.
+// Retries a read that a caller waits for. The final error states that nothing was changed.
 template <typename Value>
-Callback<Value> BatchStore::retried(Callback<Value> callback,
-                                    std::function<void(Callback<Value>)> send, uint32_t tries) {
-  return [this, callback, send, tries](Expected<Value> value) {
+Callback<Value> BatchStore::with_retries(Callback<Value> callback,
+                                         std::function<void(Callback<Value>)> send,
+                                         uint32_t attempts) {
+  return [this, callback, send, attempts](Expected<Value> value) {
     if (value || !is_store_failure(value.error())) {
       callback(std::move(value));
       return;
     }
-    if (tries + 1 < kCallerReadTries && !breaker_open()) {
-      const Duration pause = value.error().retry_after.value_or(Duration(0)) + backoff(tries + 1);
-      after(pause,
-            [this, callback, send, tries] { send(retried<Value>(callback, send, tries + 1)); });
+    if (attempts + 1 < kMaxCallerReadAttempts && !breaker_open()) {
+      const Duration pause =
+          value.error().retry_after.value_or(Duration(0)) + backoff(attempts + 1);
+      after(pause, [this, callback, send, attempts] {
+        send(with_retries<Value>(callback, send, attempts + 1));
+      });
       return;
     }
     Error error = not_run(ErrorKind::kStoreUnavailable, value.error().message,
-                          "ask again after the time given; nothing was changed");
+                          "retry after the given time; nothing was changed");
     error.retry_after = value.error().retry_after.value_or(knobs_.store_backoff_limit);
     callback(tl::unexpected(std::move(error)));
   };
@@ -201,10 +204,10 @@
 
 void BatchStore::read(StoreUrgency urgency, RowKey key, Callback<std::optional<Row>> callback) {
   if (urgency == StoreUrgency::kCaller) {
-    callback = retried<std::optional<Row>>(std::move(callback),
-                                           [this, key](Callback<std::optional<Row>> next) {
-                                             read(StoreUrgency::kResult, key, std::move(next));
-                                           });
+    callback = with_retries<std::optional<Row>>(std::move(callback),
+                                                [this, key](Callback<std::optional<Row>> next) {
+                                                  read(StoreUrgency::kResult, key, std::move(next));
+                                                });
   }
   submit<std::optional<Row>>(
       urgency, std::move(callback),
@@ -213,9 +216,10 @@
 
 void BatchStore::scan(StoreUrgency urgency, ScanRequest request, Callback<ScanPage> callback) {
   if (urgency == StoreUrgency::kCaller) {
-    callback = retried<ScanPage>(std::move(callback), [this, request](Callback<ScanPage> next) {
-      scan(StoreUrgency::kResult, request, std::move(next));
-    });
+    callback =
+        with_retries<ScanPage>(std::move(callback), [this, request](Callback<ScanPage> next) {
+          scan(StoreUrgency::kResult, request, std::move(next));
+        });
   }
   submit<ScanPage>(urgency, std::move(callback), [this, request = std::move(request)](auto answer) {
     dependencies_.table_store.scan(request, answer);
--- a/src/batch/batch_store.h
+++ b/src/batch/batch_store.h
@@ -1,4 +1,4 @@
-// The batch role's way to the platform's stores: one rate share, one circuit breaker.
+// Access of the batch role to the platform's stores, with one rate limit and one circuit breaker.
 #pragma once
 
 #include <array>
@@ -17,12 +17,13 @@
 
 namespace chalkshed {
 
-// Order in which waiting operations are sent. Leases are never held back by the rate.
+// Priority of queued operations, highest first. Lease operations bypass the rate limit.
 enum class StoreUrgency { kLease, kResult, kCaller, kBackground };
 
-// Sends operations within this node's share of the store's rate (the total divided by the live
-// nodes). After repeated failures the breaker opens: operations other than leases fail at once as
-// not run, until a pause with jitter has passed; the pause doubles while the store stays down.
+// Sends operations within this node's share of the store's rate limit (the total divided by the
+// number of live nodes). After repeated failures the circuit breaker opens: operations other than
+// leases fail immediately as not run until a jittered pause has passed. The pause doubles while the
+// store stays unavailable.
 class BatchStore {
  public:
   BatchStore(NodeDependencies& dependencies, const MembershipView& membership,
@@ -30,7 +31,7 @@
 
   void read(StoreUrgency urgency, RowKey key, Callback<std::optional<Row>> callback);
   void scan(StoreUrgency urgency, ScanRequest request, Callback<ScanPage> callback);
-  // All rows of a prefix, page by page.
+  // Reads all rows with a key prefix, page by page.
   void scan_all(StoreUrgency urgency, std::string table, std::string prefix,
                 Callback<std::vector<Row>> callback);
   void commit(StoreUrgency urgency, Transaction transaction, Callback<CommitResult> callback);
@@ -40,10 +41,11 @@
            Callback<std::shared_ptr<const std::string>> callback);
 
   bool breaker_open() const;
-  // @return pause before the try after `failures` consecutive ones: doubled each time, with jitter.
+  // @return the delay before the next attempt after `failures` consecutive failures: exponential,
+  // with jitter.
   Duration backoff(uint32_t failures);
-  // @return an operation's interval so that all live nodes together keep `per_second`; at least
-  // `least`.
+  // @return the interval of an operation at which all live nodes together perform `per_second` of
+  // them; at least `least`.
   Duration shared_interval(double per_second, Duration least) const;
   double live_nodes() const;
 
@@ -57,13 +59,13 @@
   template <typename Value, typename Send>
   void submit(StoreUrgency urgency, Callback<Value> callback, Send send);
   template <typename Value>
-  Callback<Value> retried(Callback<Value> callback, std::function<void(Callback<Value>)> send,
-                          uint32_t tries = 0);
+  Callback<Value> with_retries(Callback<Value> callback, std::function<void(Callback<Value>)> send,
+                               uint32_t attempts = 0);
   void submit_operation(StoreUrgency urgency, Operation operation);
   void drain_queues();
   bool take_token();
   void refill();
-  void cut_rate();
+  void decrease_rate();
   void after(Duration delay, std::function<void()> call);
   void observe(const Error* error);
   Error breaker_error() const;
@@ -74,8 +76,9 @@
   const BatchKnobs& knobs_;
   std::array<std::deque<Operation>, 4> queues_;
   double tokens_ = 0;
-  double rate_factor_ = 1;  // of this node's share; below 1 while the store refuses for its rate
-  MonotonicTime rate_cut_at_{};
+  double rate_factor_ = 1;  // fraction of this node's share; below 1 while the store rejects
+                            // operations for its rate limit
+  MonotonicTime rate_decreased_at_{};
   MonotonicTime refilled_at_;
   uint32_t consecutive_failures_ = 0;
   MonotonicTime open_until_{};
--- a/src/batch/chunk_claimer.cc
+++ b/src/batch/chunk_claimer.cc
@@ -22,7 +22,8 @@
       lifetime_.guard([this, candidate, row, cancel, done](Expected<CommitResult> result) {
         if (result && result->committed) {
           const bool ours = lease_.session() == row.owner;
-          done({ours ? ClaimEnd::kClaimed : ClaimEnd::kFailed, row, result->versions.front()});
+          done({ours ? ClaimOutcome::kClaimed : ClaimOutcome::kFailed, row,
+                result->versions.front()});
           return;
         }
         if (!result && result.error().ran == Ran::kUnknown) {
@@ -30,35 +31,35 @@
           return;
         }
         if (!result) {
-          done({ClaimEnd::kFailed, {}, 0});
+          done({ClaimOutcome::kFailed, {}, 0});
           return;
         }
         const auto& failed = result->failed_conditions;
         const bool cancelled = std::find(failed.begin(), failed.end(), cancel) != failed.end();
-        done({cancelled ? ClaimEnd::kCancelled : ClaimEnd::kTaken, {}, 0});
+        done({cancelled ? ClaimOutcome::kCancelled : ClaimOutcome::kTaken, {}, 0});
       }));
 }
 
 void ChunkClaimer::resolve(const ClaimCandidate& candidate, const ChunkRow& claimed,
                            std::function<void(ChunkClaimResult)> done) {
-  store_.read(StoreUrgency::kBackground, chunk_key(candidate.job, candidate.chunk),
-              lifetime_.guard([this, claimed, done](Expected<std::optional<Row>> row) {
-                if (!row || !row->has_value()) {
-                  // If the claim takes effect later, the scan finds a chunk that this session owns
-                  // and does not hold, and claims it anew.
-                  done({ClaimEnd::kFailed, {}, 0});
-                  return;
-                }
-                const auto chunk = decode_chunk((*row)->value);
-                if (!chunk) {
-                  done({ClaimEnd::kFailed, {}, 0});
-                  return;
-                }
-                const bool ours = chunk->state == ChunkState::kRunning &&
-                                  chunk->owner == claimed.owner && chunk->epoch == claimed.epoch &&
-                                  lease_.session() == claimed.owner;
-                done({ours ? ClaimEnd::kClaimed : ClaimEnd::kTaken, *chunk, (*row)->version});
-              }));
+  store_.read(
+      StoreUrgency::kBackground, chunk_key(candidate.job, candidate.chunk),
+      lifetime_.guard([this, claimed, done](Expected<std::optional<Row>> row) {
+        if (!row || !row->has_value()) {
+          // If the claim is committed later, a scan finds a chunk that this session owns but does
+          // not hold, and it is claimed again.
+          done({ClaimOutcome::kFailed, {}, 0});
+          return;
+        }
+        const auto chunk = decode_chunk((*row)->value);
+        if (!chunk) {
+          done({ClaimOutcome::kFailed, {}, 0});
+          return;
+        }
+        const bool ours = chunk->state == ChunkState::kRunning && chunk->owner == claimed.owner &&
+                          chunk->epoch == claimed.epoch && lease_.session() == claimed.owner;
+        done({ours ? ClaimOutcome::kClaimed : ClaimOutcome::kTaken, *chunk, (*row)->version});
+      }));
 }
 
 }  // namespace chalkshed
--- a/src/batch/chunk_claimer.h
+++ b/src/batch/chunk_claimer.h
@@ -1,4 +1,4 @@
-// Claims of chunks in the table.
+// Claims chunks by conditional writes to the table.
 #pragma once
 
 #include <functional>
@@ -9,16 +9,16 @@
 
 namespace chalkshed {
 
-enum class ClaimEnd {
+enum class ClaimOutcome {
   kClaimed,
-  kTaken,      // the row changed; the board is out of date there
+  kTaken,      // the row has changed; the cached chunk is stale
   kCancelled,  // the job is cancelled
-  kFailed,     // the store did not answer, or the lease lapsed meanwhile
+  kFailed,     // the store did not respond, or the lease expired in the meantime
 };
 
 struct ChunkClaimResult {
-  ClaimEnd end = ClaimEnd::kFailed;
-  ChunkRow row;            // as in the table, when claimed, or taken and read
+  ClaimOutcome end = ClaimOutcome::kFailed;
+  ChunkRow row;            // the stored row, if the chunk was claimed, or taken and read back
   RowVersion version = 0;  // 0 when unknown
 };
 
@@ -27,8 +27,9 @@
   ChunkClaimer(BatchStore& store, const SessionLease& lease, const BatchKnobs& knobs)
       : store_(store), lease_(lease), knobs_(knobs) {}
 
-  // Writes the row with this node's session and the next epoch, on the condition that it is still
-  // as the candidate says and that the job is not cancelled. A lost answer is read back.
+  // Writes the row with this node's session and the next epoch, on condition that its version is
+  // still that of the candidate and that the job is not cancelled. After a lost response the row is
+  // read back.
   void claim(const ClaimCandidate& candidate, std::function<void(ChunkClaimResult)> done);
 
  private:
--- a/src/batch/chunk_commit.cc
+++ b/src/batch/chunk_commit.cc
@@ -20,13 +20,13 @@
         step();
       })) {}
 
-bool ChunkCommit::may_act() const {
+bool ChunkCommit::passes_lease_check() const {
   return !knobs_.safeguards.lease_checked_before_side_effects || lease_.valid();
 }
 
 void ChunkCommit::resume() {
-  if (waiting_step_) {
-    const std::function<void()> step = std::exchange(waiting_step_, nullptr);
+  if (pending_step_) {
+    const std::function<void()> step = std::exchange(pending_step_, nullptr);
     step();
   }
 }
@@ -48,8 +48,8 @@
 }
 
 void ChunkCommit::put() {
-  if (!may_act()) {
-    waiting_step_ = [this] { put(); };
+  if (!passes_lease_check()) {
+    pending_step_ = [this] { put(); };
     return;
   }
   store_.put(StoreUrgency::kResult, result_name_, content_,
@@ -69,8 +69,8 @@
 }
 
 void ChunkCommit::commit() {
-  if (!may_act()) {
-    waiting_step_ = [this] { commit(); };
+  if (!passes_lease_check()) {
+    pending_step_ = [this] { commit(); };
     return;
   }
   ChunkRow row = chunk_.row;
@@ -93,7 +93,7 @@
 
 void ChunkCommit::on_commit(Expected<CommitResult> result) {
   if (result && result->committed) {
-    end(ChunkEnd::kDone);
+    end(ChunkOutcome::kDone);
     return;
   }
   if (!result && result.error().ran == Ran::kNo) {
@@ -101,7 +101,7 @@
     return;
   }
   if (!result && !knobs_.safeguards.read_back_lost_commits) {
-    end(ChunkEnd::kDone);
+    end(ChunkOutcome::kDone);
     return;
   }
   if (result) {
@@ -113,7 +113,7 @@
   resolve();
 }
 
-// Reads the chunk's row back after a lost answer or a failed condition.
+// Reads the chunk's row back after a lost response or a failed condition.
 void ChunkCommit::resolve() {
   store_.read(StoreUrgency::kResult, chunk_key(chunk_.job, chunk_.number),
               lifetime_.guard([this](const Expected<std::optional<Row>>& row) {
@@ -128,9 +128,9 @@
 void ChunkCommit::on_row(const std::optional<Row>& row) {
   const auto chunk = row ? decode_chunk(row->value) : Expected<ChunkRow>(ChunkRow{});
   if (chunk && chunk->state == ChunkState::kDone && chunk->result == result_name_) {
-    end(ChunkEnd::kDone);
+    end(ChunkOutcome::kDone);
   } else if (!row || row->version != chunk_.version) {
-    end(ChunkEnd::kSuperseded);
+    end(ChunkOutcome::kSuperseded);
   } else if (cancelled_) {
     leave(ChunkState::kStopped);
   } else {
@@ -138,15 +138,15 @@
   }
 }
 
-// ---- leaving ----
+// ---- releasing ----
 
-void ChunkCommit::release(MonotonicTime quiet_at) {
-  quiet_at_ = std::max(quiet_at_, quiet_at);
+void ChunkCommit::release(MonotonicTime quiesced_at) {
+  quiesced_at_ = std::max(quiesced_at_, quiesced_at);
   leave(ChunkState::kPending);
 }
 
-void ChunkCommit::cancel(MonotonicTime quiet_at) {
-  quiet_at_ = std::max(quiet_at_, quiet_at);
+void ChunkCommit::cancel(MonotonicTime quiesced_at) {
+  quiesced_at_ = std::max(quiesced_at_, quiesced_at);
   cancelled_ = true;
   if (phase_ != Phase::kCommitting) {
     leave(ChunkState::kStopped);
@@ -162,11 +162,11 @@
     return;
   }
   phase_ = Phase::kLeaving;
-  waiting_step_ = nullptr;
+  pending_step_ = nullptr;
   failures_ = 0;
   retry_timer_->disable();
-  // The row says that nobody works on the chunk any more, so it is written once that is certain.
-  const Duration wait = quiet_at_ - dependencies_.time_source.monotonic_now();
+  // The row states that no attempt is running, so it is written only once that is certain.
+  const Duration wait = quiesced_at_ - dependencies_.time_source.monotonic_now();
   if (wait > Duration(0)) {
     retry_step_ = [this] { write_state(); };
     retry_timer_->enable(wait);
@@ -181,24 +181,24 @@
   Transaction transaction;
   transaction.conditions.push_back({chunk_key(chunk_.job, chunk_.number), chunk_.version});
   transaction.writes.push_back({chunk_key(chunk_.job, chunk_.number), encode(row)});
-  store_.commit(
-      StoreUrgency::kResult, std::move(transaction),
-      lifetime_.guard([this](const Expected<CommitResult>& result) {
-        if (!result) {
-          // Whether or not it took effect: writing again either does it or finds the row
-          // changed.
-          retry([this] { write_state(); });
-          return;
-        }
-        end(leaving_state_ == ChunkState::kStopped ? ChunkEnd::kStopped : ChunkEnd::kReleased);
-      }));
+  store_.commit(StoreUrgency::kResult, std::move(transaction),
+                lifetime_.guard([this](const Expected<CommitResult>& result) {
+                  if (!result) {
+                    // The write may have been committed: repeating it either commits it or finds
+                    // the row changed.
+                    retry([this] { write_state(); });
+                    return;
+                  }
+                  end(leaving_state_ == ChunkState::kStopped ? ChunkOutcome::kStopped
+                                                             : ChunkOutcome::kReleased);
+                }));
 }
 
-void ChunkCommit::end(ChunkEnd how) {
+void ChunkCommit::end(ChunkOutcome outcome) {
   phase_ = Phase::kEnded;
   const Done done = std::exchange(done_, nullptr);
   if (done) {
-    done(how);
+    done(outcome);
   }
 }
 
--- a/src/batch/chunk_commit.h
+++ b/src/batch/chunk_commit.h
@@ -1,4 +1,4 @@
-// The store's side of a claimed chunk: its result, and how its owner leaves it.
+// Store operations of a claimed chunk: writing its result, and releasing or stopping it.
 #pragma once
 
 #include <functional>
@@ -9,15 +9,15 @@
 
 namespace chalkshed {
 
-// How a chunk left its owner.
-enum class ChunkEnd {
-  kDone,       // the result is in force
-  kReleased,   // given back for others to claim
+// Outcome of a chunk for its owner.
+enum class ChunkOutcome {
+  kDone,       // the result is committed
+  kReleased,   // released for other nodes to claim
   kStopped,    // the job is cancelled and the owner has confirmed that it stopped
-  kSuperseded  // another owner has it
+  kSuperseded  // another session owns it
 };
 
-// The chunk's row as its owner has claimed it.
+// The chunk's row as written by the owner's claim.
 struct ClaimedChunk {
   JobId job;
   uint32_t number = 0;
@@ -25,26 +25,28 @@
   RowVersion version = 0;
 };
 
-// Writes the result object, then points the chunk's row at it, on the conditions that the row is
-// untouched since the claim and that the job is not cancelled. Lost answers are read back; while
-// the store is down, steps are repeated with backoff; while the lease is lapsed, they wait.
+// Writes the result object, then updates the chunk's row to refer to it, on condition that the row
+// is unchanged since the claim and that the job is not cancelled. After a lost response the row is
+// read back; while the store is unavailable, steps are retried with backoff; while the lease is
+// expired, they wait.
 class ChunkCommit {
  public:
-  using Done = std::function<void(ChunkEnd)>;
+  using Done = std::function<void(ChunkOutcome)>;
 
-  // @param done called once, never inside a call of ours.
+  // @param done called once, never from within a method of this class.
   ChunkCommit(NodeDependencies& dependencies, BatchStore& store, const SessionLease& lease,
               const BatchKnobs& knobs, ClaimedChunk chunk, Done done);
 
-  // @param content one line an item.
+  // @param content one line per item.
   void save(std::string content, uint32_t completed, uint32_t failed);
-  // Gives the chunk back. Only while nothing is being saved.
-  // @param quiet_at when the owner's last attempts have surely ended; the row is written then.
-  void release(MonotonicTime quiet_at);
-  // The job is cancelled: confirms in the row that the owner has stopped, unless a commit under way
-  // turns out to have been first.
-  void cancel(MonotonicTime quiet_at);
-  // The lease is valid again.
+  // Releases the chunk. Must not be called while a result is being saved.
+  // @param quiesced_at time by which all attempts of the owner are guaranteed to have ended; the
+  // row is written then.
+  void release(MonotonicTime quiesced_at);
+  // Confirms in the row of a cancelled job's chunk that the owner has stopped, unless a commit in
+  // progress turns out to have succeeded.
+  void cancel(MonotonicTime quiesced_at);
+  // Continues after the lease has become valid again.
   void resume();
 
  private:
@@ -57,9 +59,9 @@
   void on_row(const std::optional<Row>& row);
   void leave(ChunkState state);
   void write_state();
-  void end(ChunkEnd how);
+  void end(ChunkOutcome outcome);
   void retry(std::function<void()> step);
-  bool may_act() const;
+  bool passes_lease_check() const;
 
   NodeDependencies& dependencies_;
   BatchStore& store_;
@@ -69,15 +71,15 @@
   Done done_;
   Phase phase_ = Phase::kIdle;
   bool cancelled_ = false;
-  MonotonicTime quiet_at_{};
+  MonotonicTime quiesced_at_{};
   ChunkState leaving_state_ = ChunkState::kPending;
   std::string result_name_;
   std::shared_ptr<const std::string> content_;
   uint32_t completed_ = 0;
   uint32_t failed_ = 0;
   uint32_t failures_ = 0;
-  std::function<void()> waiting_step_;  // goes on once the lease is valid again
-  std::function<void()> retry_step_;    // steps follow one another, so at most one waits
+  std::function<void()> pending_step_;  // runs once the lease is valid again
+  std::function<void()> retry_step_;    // steps are sequential, so at most one is pending
   TimerPtr retry_timer_;
   Lifetime lifetime_;
 };
--- a/src/batch/chunk_run.cc
+++ b/src/batch/chunk_run.cc
@@ -7,7 +7,7 @@
 namespace chalkshed {
 namespace {
 
-// Failures that say nothing about the item itself, only that the worker did not take it.
+// Failures not caused by the item: the worker rejected the request before running it.
 bool certainly_not_run(const Error& error) {
   return error.ran == Ran::kNo &&
          (error.kind == ErrorKind::kUnavailable || error.kind == ErrorKind::kOverloaded ||
@@ -36,9 +36,10 @@
   uint32_t failures = 0;            // without progress in between
   uint32_t refusals = 0;            // attempts that did not run, in a row
   WorkerId failed_worker;
-  MonotonicTime quiet_at{};  // the engine has surely ended the present attempt
+  // By then the engine is guaranteed to have ended the current attempt.
+  MonotonicTime quiesced_at{};
   TimerPtr retry_timer;
-  std::unique_ptr<ItemAttempt> run;
+  std::unique_ptr<ItemAttempt> attempt;
 };
 
 ChunkRun::ChunkRun(ChunkEnvironment environment, JobRow job, uint32_t number, ChunkRow row,
@@ -51,11 +52,11 @@
       input_timer_(environment_.dependencies.dispatcher.create_timer([this] { load(); })),
       commit_(environment_.dependencies, environment_.store, environment_.lease, environment_.knobs,
               ClaimedChunk{job_.id, number_, row_, version},
-              [this](ChunkEnd how) { events_.on_end(how); }) {}
+              [this](ChunkOutcome outcome) { events_.on_end(outcome); }) {}
 
 ChunkRun::~ChunkRun() { environment_.unsaved_result_bytes -= unsaved_bytes_; }
 
-bool ChunkRun::may_act() const {
+bool ChunkRun::passes_lease_check() const {
   return !environment_.knobs.safeguards.lease_checked_before_side_effects ||
          environment_.lease.valid();
 }
@@ -107,7 +108,7 @@
   items_.push_back(std::make_unique<Item>());
   auto parsed = parse_batch_item(line);
   if (!parsed) {
-    // Accepted lines were parsed before; only a change of the parser can bring this about.
+    // Accepted lines have been parsed before, so this can only happen after a change of the parser.
     fail_item(index, parsed.error());
     return;
   }
@@ -157,7 +158,7 @@
 
 void ChunkRun::start_item(uint32_t index, BatchSlotPtr slot) {
   std::erase(ready_, index);
-  if (!may_act()) {
+  if (!passes_lease_check()) {
     ready_.push_front(index);
     return;
   }
@@ -166,30 +167,30 @@
   last_progress_ = environment_.dependencies.time_source.monotonic_now();
   events_.on_item_charge(item.request.prompt_tokens + item.request.max_tokens);
   GenerateRequest request = generate_request(item, index);
-  item.quiet_at = last_progress_ + *request.time_limit + environment_.knobs.attempt_margin;
-  item.run = std::make_unique<ItemAttempt>(
+  item.quiesced_at = last_progress_ + *request.time_limit + environment_.knobs.attempt_margin;
+  item.attempt = std::make_unique<ItemAttempt>(
       environment_.dependencies, std::move(slot), std::move(request), item.tokens,
-      [this, index](AttemptOutcome how) { on_item_end(index, how); });
+      [this, index](AttemptOutcome outcome) { on_attempt_end(index, outcome); });
 }
 
-void ChunkRun::on_item_end(uint32_t index, AttemptOutcome how) {
+void ChunkRun::on_attempt_end(uint32_t index, AttemptOutcome outcome) {
   Item& item = *items_[index];
   --running_;
-  if (item.run->progressed()) {
+  if (item.attempt->progressed()) {
     item.failures = 0;
   }
-  if (how == AttemptOutcome::kRevoked) {
+  if (outcome == AttemptOutcome::kRevoked) {
     abandon_attempt(item);
     ready_.push_front(index);
     events_.on_ready();
     return;
   }
-  if (how == AttemptOutcome::kFailed) {
+  if (outcome == AttemptOutcome::kFailed) {
     on_item_failed(index);
     return;
   }
-  const GenerateResult result = item.run->result();
-  item.run.reset();
+  const GenerateResult result = item.attempt->result();
+  item.attempt.reset();
   CompletionIdentity identity;
   identity.api = item.request.api;
   identity.request_id = request_id(index);
@@ -205,10 +206,10 @@
 
 void ChunkRun::on_item_failed(uint32_t index) {
   Item& item = *items_[index];
-  const Error error = item.run->error();
-  item.failed_worker = item.run->worker();
+  const Error error = item.attempt->error();
+  item.failed_worker = item.attempt->worker();
   if (certainly_not_run(error)) {
-    item.run.reset();
+    item.attempt.reset();
   } else {
     abandon_attempt(item);
   }
@@ -293,16 +294,16 @@
   return last_progress_;
 }
 
-// Cancels an attempt. An engine that cannot be reached works on until the attempt's time limit.
+// Cancels an attempt. An unreachable engine continues until the attempt's time limit.
 void ChunkRun::abandon_attempt(Item& item) {
-  item.run.reset();
-  quiet_at_ = std::max(quiet_at_, item.quiet_at);
+  item.attempt.reset();
+  quiesced_at_ = std::max(quiesced_at_, item.quiesced_at);
 }
 
 void ChunkRun::stop_items() {
   for (uint32_t index = 0; index < items_.size(); ++index) {
     Item& item = *items_[index];
-    if (item.run != nullptr) {
+    if (item.attempt != nullptr) {
       abandon_attempt(item);
       --running_;
       ready_.push_back(index);
@@ -337,13 +338,13 @@
   }
   cancelled_ = true;
   leave();
-  commit_.cancel(quiet_at_);
+  commit_.cancel(quiesced_at_);
 }
 
 void ChunkRun::release() {
   if (phase_ == Phase::kLoading || phase_ == Phase::kWorking) {
     leave();
-    commit_.release(quiet_at_);
+    commit_.release(quiesced_at_);
   }
 }
 
--- a/src/batch/chunk_run.h
+++ b/src/batch/chunk_run.h
@@ -1,4 +1,4 @@
-// One claimed chunk on its owner, from its input to its result.
+// Runs one claimed chunk on its owner, from loading the input to committing the result.
 #pragma once
 
 #include <deque>
@@ -26,7 +26,7 @@
   auto operator<=>(const ChunkId&) const = default;
 };
 
-// What a chunk takes from its node. All references outlive it.
+// Dependencies that a chunk gets from its node. All references must outlive it.
 struct ChunkEnvironment {
   NodeDependencies& dependencies;
   const ConfigurationSource& configuration;
@@ -34,7 +34,7 @@
   BatchStore& store;
   const SessionLease& lease;
   const BatchKnobs& knobs;
-  size_t& unsaved_result_bytes;  // of the node's chunks whose items have all finished
+  size_t& unsaved_result_bytes;  // sum over the node's chunks whose items have all finished
 };
 
 // Runs the items of a chunk; ChunkCommit then writes their results. The lease is checked before
@@ -42,9 +42,11 @@
 class ChunkRun {
  public:
   struct Events {
-    std::function<void()> on_ready;                   // items may have become startable
-    std::function<void(ChunkEnd)> on_end;             // last event; not inside a call of ours
-    std::function<void(double cost)> on_item_charge;  // tokens that an item starting may take
+    std::function<void()> on_ready;  // items may have become startable
+    // Last event; never raised from within a method of this class.
+    std::function<void(ChunkOutcome)> on_end;
+    // Charges an upper bound of the tokens of a started item.
+    std::function<void(double cost)> on_item_charge;
   };
 
   // @param row the chunk's row as this node has written it, at `version`.
@@ -55,34 +57,37 @@
   // Reads the input, then parses it in slices.
   void load();
 
-  // An item that could start now: the service and size of its prompt.
+  // An item that can be started, with its service and prompt size.
   struct Startable {
     uint32_t item = 0;
     std::string service;
     uint32_t prompt_tokens = 0;
-    WorkerId avoided_worker;  // the one that failed it last; may be empty
+    WorkerId avoided_worker;  // on which the last attempt failed; may be empty
   };
-  // @param blocked services that have no free slot. Items of unknown models are failed on the way.
+  // @param blocked services without a free slot. Items of unknown models are failed during the
+  // search.
   std::optional<Startable> next_startable(const std::set<std::string>& blocked);
   void start_item(uint32_t item, BatchSlotPtr slot);
 
-  // Stops all items but keeps their tokens; they become startable again. For a lapsed lease.
+  // Stops all items when the lease has expired. Their tokens are kept and they can be started
+  // again.
   void pause();
-  // The lease is valid again.
+  // Continues after the lease has become valid again.
   void resume();
-  // The job is cancelled: stops all items and confirms it in the chunk's row.
+  // Stops all items of a cancelled job and confirms this in the chunk's row.
   void cancel();
-  // Stops all items and gives the chunk back.
+  // Stops all items and releases the chunk.
   void release();
 
   const JobRow& job() const { return job_; }
   uint32_t number() const { return number_; }
   bool working() const { return phase_ == Phase::kWorking; }
   bool loading() const { return phase_ == Phase::kLoading; }
-  // Items not finished, running ones included; the whole chunk while it loads.
+  // Unfinished items, including running ones; the whole chunk while it is loading.
   uint32_t unfinished_items() const;
   uint32_t running_items() const { return running_; }
-  // @return since when items wait to start and none has started; empty while some run or none wait.
+  // @return the time since which items have been pending without any being started; empty while
+  // items are running or none is pending.
   std::optional<MonotonicTime> idle_since() const;
   bool has_results() const { return finished_ > 0; }
 
@@ -94,19 +99,19 @@
   void parse_slice();
   void parse_line(std::string_view line);
   GenerateRequest generate_request(const Item& item, uint32_t index);
-  void on_item_end(uint32_t index, AttemptOutcome how);
+  void on_attempt_end(uint32_t index, AttemptOutcome outcome);
   void on_item_failed(uint32_t index);
   void retry_item(uint32_t index, Duration delay);
   void finish_item(uint32_t index, std::string line, bool failed);
   void fail_item(uint32_t index, const Error& error);
-  // Id of an item's run by this owner; in the output it tells which owner's result is in force.
+  // Id of an item's run by this owner; identifies in the output whose result was committed.
   std::string request_id(uint32_t index) const;
   void abandon_attempt(Item& item);
   void stop_items();
 
   void save();
   void leave();
-  bool may_act() const;
+  bool passes_lease_check() const;
 
   ChunkEnvironment environment_;
   JobRow job_;
@@ -125,9 +130,10 @@
   uint32_t failed_ = 0;
   size_t result_bytes_ = 0;
   size_t unsaved_bytes_ = 0;  // result_bytes_ once all items have finished
-  uint64_t attempts_ = 0;     // of all items; makes attempt ids unique within the epoch
+  uint64_t attempts_ = 0;     // over all items; makes attempt ids unique within the epoch
   MonotonicTime last_progress_{};
-  MonotonicTime quiet_at_{};  // all attempts given up before have surely ended on their engines
+  MonotonicTime quiesced_at_{};  // by then all abandoned attempts are guaranteed to have ended on
+                                 // their engines
   uint32_t input_failures_ = 0;
   TimerPtr input_timer_;
   ChunkCommit commit_;
--- a/src/batch/id_set.cc
+++ b/src/batch/id_set.cc
@@ -5,46 +5,46 @@
 namespace chalkshed {
 namespace {
 
-constexpr size_t kFirstPlaces = 64;
+constexpr size_t kInitialSlots = 64;
 constexpr uint64_t kFirstSeed = 1;
 constexpr uint64_t kSecondSeed = 2;
 
 }  // namespace
 
-IdSet::IdSet() : places_(kFirstPlaces) {}
+IdSet::IdSet() : slots_(kInitialSlots) {}
 
 bool IdSet::insert(std::string_view id) {
-  // The lowest bit keeps a digest apart from an empty place.
+  // Setting the lowest bit distinguishes a digest from an empty slot.
   const Digest digest{content_hash(id, kFirstSeed), content_hash(id, kSecondSeed) | 1U};
-  if (!place(digest)) {
+  if (!insert_digest(digest)) {
     return false;
   }
   ++size_;
-  if (2 * size_ > places_.size()) {
+  if (2 * size_ > slots_.size()) {
     grow();
   }
   return true;
 }
 
-bool IdSet::place(const Digest& digest) {
-  const size_t mask = places_.size() - 1;
+bool IdSet::insert_digest(const Digest& digest) {
+  const size_t mask = slots_.size() - 1;
   size_t position = digest.first & mask;
-  while (places_[position] != Digest{}) {
-    if (places_[position] == digest) {
+  while (slots_[position] != Digest{}) {
+    if (slots_[position] == digest) {
       return false;
     }
     position = (position + 1) & mask;
   }
-  places_[position] = digest;
+  slots_[position] = digest;
   return true;
 }
 
 void IdSet::grow() {
-  std::vector<Digest> larger(2 * places_.size());
-  places_.swap(larger);
+  std::vector<Digest> larger(2 * slots_.size());
+  slots_.swap(larger);
   for (const Digest& digest : larger) {
     if (digest != Digest{}) {
-      place(digest);
+      insert_digest(digest);
     }
   }
 }
--- a/src/batch/item_attempt.cc
+++ b/src/batch/item_attempt.cc
@@ -21,8 +21,8 @@
   if (chunk.first_index != tokens_.size()) {
     fail(maybe_run(ErrorKind::kUpstreamFailed,
                    "worker " + worker_ + " sent token " + std::to_string(chunk.first_index) +
-                       " where " + std::to_string(tokens_.size()) + " was due",
-                   "the item is resumed from its last good token"));
+                       " where " + std::to_string(tokens_.size()) + " was expected",
+                   "the item is resumed after its last valid token"));
     return;
   }
   if (chunk.tokens.empty()) {
@@ -42,9 +42,9 @@
     const size_t arrived = tokens_.size();
     tokens_.clear();
     fail(maybe_run(ErrorKind::kUpstreamFailed,
-                   "worker " + worker_ + " counts " + std::to_string(result.completion_tokens) +
-                       " tokens where " + std::to_string(arrived) + " arrived",
-                   "the item is run anew"));
+                   "worker " + worker_ + " reports " + std::to_string(result.completion_tokens) +
+                       " tokens but " + std::to_string(arrived) + " were received",
+                   "the item is run again from the start"));
     return;
   }
   result_ = result;
@@ -62,15 +62,15 @@
 
 void ItemAttempt::on_revoked() {
   stream_.reset();
-  // Later, since it gives the slot back, and the slot is the one that is calling us.
+  // Deferred because it destroys the slot, which is the caller of this function.
   dependencies_.dispatcher.post(lifetime_.guard([this] { end(AttemptOutcome::kRevoked); }));
 }
 
-void ItemAttempt::end(AttemptOutcome how) {
+void ItemAttempt::end(AttemptOutcome outcome) {
   stream_.reset();
   slot_.reset();
   const Done done = std::move(done_);
-  done(how);
+  done(outcome);
 }
 
 }  // namespace chalkshed
--- a/src/batch/item_attempt.h
+++ b/src/batch/item_attempt.h
@@ -1,4 +1,4 @@
-// One attempt at one batch item on a worker.
+// One attempt to run a batch item on a worker.
 #pragma once
 
 #include <functional>
@@ -11,21 +11,21 @@
 
 namespace chalkshed {
 
-// How an attempt ended.
+// Outcome of an attempt.
 enum class AttemptOutcome {
-  kCompleted,  // result() and all tokens are there
-  kRevoked,    // the worker's batch window shut; to be resumed
-  kFailed,     // see error(); tokens received so far are good for a resumption
+  kCompleted,  // result() and all tokens are available
+  kRevoked,    // the worker's batch capacity was withdrawn; the item must be resumed
+  kFailed,     // see error(); the item can be resumed after the tokens received so far
 };
 
-// Streams an item's tokens from an engine. Destroying it cancels the attempt on the engine and
-// gives the slot back.
+// Streams an item's tokens from an engine. Destruction cancels the attempt on the engine and
+// releases the slot.
 class ItemAttempt : public GenerateCallbacks {
  public:
   using Done = std::function<void(AttemptOutcome)>;
 
-  // @param tokens those of earlier attempts; new ones are appended. Must outlive the run.
-  // @param done called once; the run may be destroyed in it.
+  // @param tokens tokens of earlier attempts; new ones are appended. Must outlive the attempt.
+  // @param done called once; may destroy the attempt.
   ItemAttempt(NodeDependencies& dependencies, BatchSlotPtr slot, GenerateRequest request,
               std::vector<std::string>& tokens, Done done);
   ~ItemAttempt() override;
@@ -42,7 +42,7 @@
  private:
   void on_revoked();
   void fail(Error error);
-  void end(AttemptOutcome how);
+  void end(AttemptOutcome outcome);
 
   NodeDependencies& dependencies_;
   BatchSlotPtr slot_;
--- a/src/batch/job_acceptor.cc
+++ b/src/batch/job_acceptor.cc
@@ -6,7 +6,7 @@
 namespace chalkshed {
 namespace {
 
-// Ids sort by the time of acceptance; the random part keeps those of one moment apart.
+// Ids sort by acceptance time; the random part distinguishes jobs accepted at the same time.
 JobId new_job_id(NodeDependencies& dependencies) {
   const auto now = dependencies.time_source.wall_now().time_since_epoch().count();
   std::array<char, 48> text{};
@@ -27,7 +27,7 @@
       done_(std::move(done)),
       parser_(std::move(submission_.body), knobs),
       timer_(dependencies.dispatcher.create_timer([this] {
-        const std::function<void()> step = std::exchange(waiting_step_, nullptr);
+        const std::function<void()> step = std::exchange(pending_step_, nullptr);
         step();
       })) {}
 
@@ -44,7 +44,7 @@
   }
 }
 
-// A resend is answered without storing its input again.
+// A resubmission is answered without storing its input again.
 void JobAcceptor::look_up_key() {
   if (!knobs_.safeguards.idempotency_checked) {
     prepare();
@@ -56,7 +56,7 @@
                   failures_ = 0;
                   on_key_row(*row);
                 } else {
-                  give_up_or_wait([this] { look_up_key(); });
+                  retry_or_fail([this] { look_up_key(); });
                 }
               }));
 }
@@ -72,7 +72,7 @@
   } else if (known->body_digest != parser_.digest()) {
     finish(tl::unexpected(
         not_run(ErrorKind::kConflict,
-                "the idempotency key \"" + submission_.key + "\" named another job before (" +
+                "the idempotency key \"" + submission_.key + "\" was used for another job (" +
                     known->job + ")",
                 "use a new key for a new job; resend the same lines to find the earlier one")));
   } else {
@@ -163,7 +163,7 @@
     return;
   }
   if (!result && result.error().ran == Ran::kNo) {
-    give_up_or_wait([this] { commit(); });
+    retry_or_fail([this] { commit(); });
     return;
   }
   if (!result) {
@@ -176,7 +176,7 @@
   read_back();
 }
 
-// Learns from the idempotency row whose submission holds the key.
+// Reads the idempotency row to find out which submission holds the key.
 void JobAcceptor::read_back() {
   store_.read(
       StoreUrgency::kCaller, idempotency_key(submission_.tenant, submission_.key),
@@ -185,13 +185,13 @@
 
 void JobAcceptor::on_read_back(Expected<std::optional<Row>> row) {
   if (!row) {
-    give_up_or_wait([this] { read_back(); });
+    retry_or_fail([this] { read_back(); });
     return;
   }
   if (!row->has_value()) {
-    // Not there yet. Whether an earlier commit is still on its way cannot be read; but committing
-    // again is safe, since at most one of them finds the key absent.
-    give_up_or_wait([this] { commit(); });
+    // The row does not exist yet. An earlier commit may still be in flight, but committing again is
+    // safe because at most one commit finds the key absent.
+    retry_or_fail([this] { commit(); });
     return;
   }
   const auto known = decode_idempotency((*row)->value);
@@ -202,14 +202,14 @@
   on_key_row(*row);
 }
 
-// Runs the step again after a pause, or refuses the caller after too many failures.
-void JobAcceptor::give_up_or_wait(std::function<void()> step) {
+// Retries the step after a backoff, or fails the submission after too many failures.
+void JobAcceptor::retry_or_fail(std::function<void()> step) {
   ++failures_;
   if (failures_ >= knobs_.acceptance_attempts) {
     finish(tl::unexpected(store_error()));
     return;
   }
-  waiting_step_ = std::move(step);
+  pending_step_ = std::move(step);
   timer_->enable(store_.backoff(failures_));
 }
 
@@ -224,11 +224,11 @@
 Error JobAcceptor::store_error() const {
   if (outcome_unknown_) {
     return maybe_run(ErrorKind::kOutcomeUnknown,
-                     "the store did not tell whether the job was recorded",
+                     "the store did not confirm whether the job was recorded",
                      "resend the same job with the same Idempotency-Key (" + submission_.key +
                          "); it is never run twice");
   }
-  Error error = not_run(ErrorKind::kStoreUnavailable, "the platform's store does not answer",
+  Error error = not_run(ErrorKind::kStoreUnavailable, "the platform's store does not respond",
                         "resend the job with the same Idempotency-Key (" + submission_.key + ")");
   error.retry_after = knobs_.store_backoff_limit;
   return error;
--- a/src/batch/job_acceptor.h
+++ b/src/batch/job_acceptor.h
@@ -1,4 +1,4 @@
-// Acceptance of one job: parse, store the input, record the job, acknowledge.
+// Accepts one job: parses it, stores the input, records the job and acknowledges it.
 #pragma once
 
 #include <functional>
@@ -25,13 +25,14 @@
   bool recorded = true;  // false only with the safeguard acknowledge_after_commit off
 };
 
-// The input goes to the object store; then one transaction writes the idempotency row, the job and
-// its entries in the work list and the tenant's list; only then is the job acknowledged. A lost
-// commit answer is resolved by reading the idempotency row back and committing again.
+// Writes the input to the object store; then one transaction writes the idempotency row, the job
+// and its entries in the lists of open jobs and of the tenant's jobs; only then is the job
+// acknowledged. After a lost commit response, the idempotency row is read back and the commit is
+// repeated if necessary.
 class JobAcceptor {
  public:
-  // Called exactly once; a second time, with the outcome, where the job was acknowledged before it
-  // was recorded. Errors: those of JobParser, kConflict (same key, other body),
+  // Called once, or twice if the job is acknowledged before it is recorded; the second call then
+  // reports the outcome. Errors: those of JobParser, kConflict (same key, other body),
   // kStoreUnavailable (not run), kOutcomeUnknown (resend with the same key).
   using Done = std::function<void(Expected<AcceptedJob>)>;
 
@@ -51,7 +52,7 @@
   void on_commit(Expected<CommitResult> result);
   void read_back();
   void on_read_back(Expected<std::optional<Row>> row);
-  void give_up_or_wait(std::function<void()> step);
+  void retry_or_fail(std::function<void()> step);
   void accept(RowVersion open_job_version);
   void finish(Expected<AcceptedJob> result);
   Error store_error() const;
@@ -67,9 +68,9 @@
   uint32_t puts_in_flight_ = 0;
   uint32_t chunks_stored_ = 0;
   uint32_t failures_ = 0;
-  bool outcome_unknown_ = false;  // some commit may have taken effect
+  bool outcome_unknown_ = false;  // a commit may have succeeded
   bool finished_ = false;
-  std::function<void()> waiting_step_;
+  std::function<void()> pending_step_;
   TimerPtr timer_;
   Lifetime lifetime_;
 };
--- a/src/batch/job_canceller.cc
+++ b/src/batch/job_canceller.cc
@@ -6,7 +6,7 @@
   JobId job;
   Callback<std::monostate> callback;
   uint32_t failures = 0;
-  bool unknown = false;  // some commit may have taken effect
+  bool unknown = false;  // a commit may have succeeded
   TimerPtr timer;
 };
 
@@ -49,7 +49,7 @@
   if (!job) {
     request->callback(tl::unexpected(job.error()));
   } else if (job->cancelled) {
-    tell_owners(request->job);
+    notify_owners(request->job);
     request->callback(std::monostate{});
   } else {
     commit(request, *job, row->version);
@@ -63,7 +63,7 @@
     } else if (report->status == JobStatus::kCompleted) {
       request->callback(tl::unexpected(
           not_run(ErrorKind::kConflict, "the job \"" + request->job + "\" has completed",
-                  "its results stay readable under /v1/batches/{id}/output")));
+                  "its results remain available at /v1/batches/{id}/output")));
     } else {
       request->callback(std::monostate{});
     }
@@ -83,7 +83,7 @@
                   if (result && result->committed) {
                     dependencies_.logger.write(LogLevel::kInfo, "batch_job_cancelled",
                                                {{"job", request->job}});
-                    tell_owners(request->job);
+                    notify_owners(request->job);
                     request->callback(std::monostate{});
                   } else {
                     retry(request, !result && result.error().ran == Ran::kUnknown);
@@ -91,12 +91,13 @@
                 }));
 }
 
-// Starts over from the open job's row, which tells whether an earlier commit took effect.
+// Restarts by reading the open job's row, which shows whether an earlier commit succeeded.
 void JobCanceller::retry(const std::shared_ptr<Request>& request, bool unknown) {
   request->unknown = request->unknown || unknown;
   ++request->failures;
   if (request->failures < knobs_.acceptance_attempts) {
-    // The request is kept by the lambda; the timer must not keep itself.
+    // `waiting_` owns the request. The timer holds a weak reference because the request owns the
+    // timer.
     request->timer = dependencies_.dispatcher.create_timer(
         lifetime_.guard([this, weak = std::weak_ptr<Request>(request)] {
           if (auto waiting = weak.lock()) {
@@ -109,22 +110,23 @@
     return;
   }
   if (request->unknown) {
-    request->callback(tl::unexpected(maybe_run(
-        ErrorKind::kOutcomeUnknown,
-        "the store did not tell whether the cancellation of \"" + request->job + "\" was recorded",
-        "cancel the job again; cancelling twice does no harm")));
+    request->callback(
+        tl::unexpected(maybe_run(ErrorKind::kOutcomeUnknown,
+                                 "the store did not confirm whether the cancellation of \"" +
+                                     request->job + "\" was recorded",
+                                 "cancel the job again; repeated cancellation is safe")));
     return;
   }
   request->callback(
-      tl::unexpected(not_run(ErrorKind::kStoreUnavailable, "the platform's store does not answer",
-                             "cancel the job again in a while")));
+      tl::unexpected(not_run(ErrorKind::kStoreUnavailable, "the platform's store does not respond",
+                             "cancel the job again later")));
 }
 
-void JobCanceller::tell_owners(const JobId& job) {
+void JobCanceller::notify_owners(const JobId& job) {
   store_.scan_all(StoreUrgency::kCaller, kChunkTable, chunk_prefix(job),
                   lifetime_.guard([this, job](const Expected<std::vector<Row>>& rows) {
                     if (!rows) {
-                      return;  // the owners learn it from the list of open jobs
+                      return;  // the owners find out by polling the open jobs
                     }
                     std::set<std::string> sessions;
                     for (const Row& row : *rows) {
@@ -134,7 +136,7 @@
                       }
                     }
                     for (const std::string& session : sessions) {
-                      peers_.tell_cancelled(session, job);
+                      peers_.notify_cancelled(session, job);
                     }
                   }));
 }
--- a/src/batch/job_canceller.h
+++ b/src/batch/job_canceller.h
@@ -1,4 +1,4 @@
-// Cancelling of jobs: recorded first, then told to the owners.
+// Cancels jobs: records the cancellation, then notifies the owners.
 #pragma once
 
 #include <memory>
@@ -16,9 +16,9 @@
   JobCanceller(NodeDependencies& dependencies, BatchPeers& peers, BatchStore& store,
                JobReader& reader, const BatchKnobs& knobs);
 
-  // Records the cancellation, then tells the nodes that own chunks of the job. Cancelling a job
-  // that is cancelled already succeeds.
-  // @param tenant only a job of this tenant is found; empty: of any.
+  // Records the cancellation, then notifies the nodes that own chunks of the job. Cancelling a job
+  // that is already cancelled succeeds.
+  // @param tenant restricts the lookup to jobs of this tenant; empty: all tenants.
   // Errors: kNotFound, kConflict (the job has completed), kStoreUnavailable (not recorded),
   // kOutcomeUnknown (cancel again).
   void cancel(const std::string& tenant, const JobId& job, Callback<std::monostate> callback);
@@ -31,14 +31,14 @@
   void check_ended(const std::shared_ptr<Request>& request);
   void commit(const std::shared_ptr<Request>& request, const OpenJobRow& job, RowVersion version);
   void retry(const std::shared_ptr<Request>& request, bool unknown);
-  void tell_owners(const JobId& job);
+  void notify_owners(const JobId& job);
 
   NodeDependencies& dependencies_;
   BatchPeers& peers_;
   BatchStore& store_;
   JobReader& reader_;
   const BatchKnobs& knobs_;
-  std::set<std::shared_ptr<Request>> waiting_;  // for their next try; never iterated
+  std::set<std::shared_ptr<Request>> waiting_;  // for their next attempt; never iterated
   Lifetime lifetime_;
 };
 
--- a/src/batch/job_finisher.cc
+++ b/src/batch/job_finisher.cc
@@ -4,10 +4,10 @@
 
 namespace chalkshed {
 
-std::optional<JobEndRow> JobFinisher::end_of(const OpenJobRow& job, const std::vector<Row>& chunks,
-                                             const OpenJobCache::Owns& dead) const {
+std::optional<JobEndRow> JobFinisher::job_end(const OpenJobRow& job, const std::vector<Row>& chunks,
+                                              const OpenJobCache::SessionPredicate& is_dead) const {
   if (!job.cancelled && chunks.size() < job.job.chunks) {
-    return std::nullopt;  // some chunk was never claimed
+    return std::nullopt;  // a chunk was never claimed
   }
   JobEndRow end;
   uint32_t done = 0;
@@ -16,7 +16,7 @@
     if (!chunk) {
       return std::nullopt;
     }
-    if (chunk->state == ChunkState::kRunning && !dead(chunk->owner)) {
+    if (chunk->state == ChunkState::kRunning && !is_dead(chunk->owner)) {
       return std::nullopt;
     }
     if (chunk->state == ChunkState::kDone) {
@@ -47,7 +47,7 @@
   store_.commit(StoreUrgency::kBackground, std::move(transaction),
                 lifetime_.guard([this, id, done](Expected<CommitResult> result) {
                   if (!result) {
-                    // The next look at the job tells whether it took effect.
+                    // The next scan of the job shows whether the commit succeeded.
                     done(false);
                     return;
                   }
--- a/src/batch/job_finisher.h
+++ b/src/batch/job_finisher.h
@@ -1,5 +1,5 @@
-// Ends jobs: writes the end row once every chunk is done, or, for a cancelled job, once no owner
-// can be at work any more.
+// Ends jobs: writes the end row once every chunk is done or, for a cancelled job, once no owner can
+// still be running items.
 #pragma once
 
 #include <functional>
@@ -15,12 +15,13 @@
   JobFinisher(NodeDependencies& dependencies, BatchStore& store)
       : dependencies_(dependencies), store_(store) {}
 
-  // @return the end of the job if it may end now. `chunks` are all its rows, read after the job was
-  // known to be cancelled, if it is.
-  // @param dead whether a session's lease has surely run out.
-  std::optional<JobEndRow> end_of(const OpenJobRow& job, const std::vector<Row>& chunks,
-                                  const OpenJobCache::Owns& dead) const;
-  // Writes the end row and takes the job off the work list, in one transaction.
+  // @return the end row if the job can end now.
+  // @param chunks all chunk rows of the job. For a
+  // cancelled job they must have been read after the cancellation was known.
+  // @param dead whether a session's lease is guaranteed to have expired.
+  std::optional<JobEndRow> job_end(const OpenJobRow& job, const std::vector<Row>& chunks,
+                                   const OpenJobCache::SessionPredicate& is_dead) const;
+  // Writes the end row and deletes the open job row in one transaction.
   // @param done called with whether the job has ended (by this or another node).
   void end_job(const OpenJobRow& job, const JobEndRow& end, std::function<void(bool)> done);
 
--- a/src/batch/job_parser.cc
+++ b/src/batch/job_parser.cc
@@ -29,15 +29,15 @@
       continue;
     }
     if (auto error = read_line(line)) {
-      return tl::unexpected(at_line(std::move(*error)));
+      return tl::unexpected(with_line_number(std::move(*error)));
     }
   }
   if (position_ < body_.size()) {
     return false;
   }
   if (lines_.empty()) {
-    return tl::unexpected(
-        not_run(ErrorKind::kInvalidRequest, "the job has no items", "send one JSON object a line"));
+    return tl::unexpected(not_run(ErrorKind::kInvalidRequest, "the job has no items",
+                                  "send one JSON object per line"));
   }
   return true;
 }
@@ -59,8 +59,8 @@
   }
   if (!custom_ids_.insert(item->custom_id)) {
     return not_run(ErrorKind::kInvalidRequest,
-                   "custom_id \"" + item->custom_id + "\" stands twice in the job",
-                   "give each item a custom_id of its own");
+                   "custom_id \"" + item->custom_id + "\" occurs twice in the job",
+                   "give each item a unique custom_id");
   }
   if (std::find(models_.begin(), models_.end(), item->request.model) == models_.end()) {
     models_.push_back(item->request.model);
@@ -74,7 +74,7 @@
   return std::nullopt;
 }
 
-Error JobParser::at_line(Error error) const {
+Error JobParser::with_line_number(Error error) const {
   error.message = "line " + std::to_string(line_number_) + ": " + error.message;
   error.remedy += "; no item of the job was accepted";
   return error;
--- a/src/batch/job_parser.h
+++ b/src/batch/job_parser.h
@@ -1,4 +1,4 @@
-// Reading of a job's JSON Lines body, in slices.
+// Incremental parser of a job's JSON Lines body.
 #pragma once
 
 #include <optional>
@@ -12,29 +12,29 @@
 
 namespace chalkshed {
 
-// Checks every line and finds where it lies. A bad line refuses the whole job, with its number:
-// a job is either accepted as the caller meant it or not at all.
+// Validates every line and records its position. An invalid line rejects the whole job with an
+// error that contains the line number, so that a job is never accepted in part.
 class JobParser {
  public:
   JobParser(std::string body, const BatchKnobs& knobs);
   JobParser(const JobParser&) = delete;
   JobParser& operator=(const JobParser&) = delete;
 
-  // Reads at most `lines` lines. @return whether the body has been read to its end.
+  // Parses at most `lines` lines. @return whether the end of the body has been reached.
   // Errors, all Ran::kNo: kInvalidRequest, kTooLarge.
   Expected<bool> read(uint32_t lines);
 
   uint32_t items() const { return static_cast<uint32_t>(lines_.size()); }
   const std::vector<std::string>& models() const { return models_; }
   const std::string& endpoint() const { return endpoint_; }
-  // Digest of all lines; blank lines and the last line end do not count.
+  // Digest of all lines, ignoring blank lines and the final newline.
   std::string digest() const;
-  // @return the lines of one chunk, each with its line end.
+  // @return the lines of one chunk, each terminated by a newline.
   std::string chunk(uint32_t number, uint32_t chunk_items) const;
 
  private:
   std::optional<Error> read_line(std::string_view line);
-  Error at_line(Error error) const;
+  Error with_line_number(Error error) const;
 
   std::string body_;
   const BatchKnobs& knobs_;
--- a/src/batch/job_reader.h
+++ b/src/batch/job_reader.h
@@ -1,4 +1,4 @@
-// Reads what the table tells of jobs.
+// Reads the state of jobs from the table.
 #pragma once
 
 #include <optional>
@@ -25,7 +25,7 @@
 };
 
 struct JobPage {
-  std::vector<JobReport> jobs;  // in the order of acceptance
+  std::vector<JobReport> jobs;  // in order of acceptance
   bool more = false;
 };
 
@@ -33,11 +33,11 @@
  public:
   explicit JobReader(BatchStore& store) : store_(store) {}
 
-  // @param tenant only a job of this tenant is found; empty: of any.
+  // @param tenant restricts the lookup to jobs of this tenant; empty: all tenants.
   // Errors: kNotFound, kStoreUnavailable.
   void read_job(const std::string& tenant, const JobId& job, Callback<JobRow> callback);
   void report(const std::string& tenant, const JobId& job, Callback<JobReport> callback);
-  // @param after id of the last job of the page before; empty: from the first.
+  // @param after id of the last job of the previous page; empty: start at the first job.
   void list(const std::string& tenant, const JobId& after, uint32_t limit,
             Callback<JobPage> callback);
 
@@ -53,7 +53,7 @@
   Lifetime lifetime_;
 };
 
-// Error of a job that is not there, or is another tenant's.
+// Error for a job that does not exist or belongs to another tenant.
 Error job_not_found(const JobId& job);
 
 }  // namespace chalkshed
--- a/src/batch/open_job_cache.cc
+++ b/src/batch/open_job_cache.cc
@@ -69,7 +69,7 @@
 void OpenJobCache::update_chunk(const JobId& job, uint32_t chunk, const ChunkRow& row,
                                 RowVersion version) {
   CachedJob* known = find(job);
-  // Versions of a row only grow, so an answer that comes late never hides a newer one.
+  // Row versions increase monotonically, so a late response never overwrites a newer row.
   if (known == nullptr || chunk >= known->chunks.size() || version < known->chunks[chunk].version) {
     return;
   }
@@ -88,7 +88,7 @@
 }
 
 std::optional<ClaimCandidate> OpenJobCache::candidate(const JobId& job,
-                                                      const Owns& claimable) const {
+                                                      const SessionPredicate& claimable) const {
   const auto found = jobs_.find(job);
   if (found == jobs_.end() || found->second.row.cancelled) {
     return std::nullopt;
@@ -109,7 +109,8 @@
   return std::nullopt;
 }
 
-std::optional<ClaimCandidate> OpenJobCache::unheld_chunk_of(const std::string& session) const {
+std::optional<ClaimCandidate> OpenJobCache::unheld_chunk_owned_by(
+    const std::string& session) const {
   for (const auto& [id, job] : jobs_) {
     for (uint32_t number = 0; number < job.chunks.size() && !job.row.cancelled; ++number) {
       const CachedChunk& chunk = job.chunks[number];
@@ -121,7 +122,8 @@
   return std::nullopt;
 }
 
-std::vector<ClaimCandidate> OpenJobCache::cancelled_chunks_of(const std::string& session) const {
+std::vector<ClaimCandidate> OpenJobCache::cancelled_chunks_owned_by(
+    const std::string& session) const {
   std::vector<ClaimCandidate> found;
   for (const auto& [id, job] : jobs_) {
     if (!job.row.cancelled) {
--- a/src/batch/output_stream.cc
+++ b/src/batch/output_stream.cc
@@ -7,10 +7,10 @@
 namespace chalkshed {
 namespace {
 
-constexpr Duration kReaderPause = std::chrono::milliseconds(10);
+constexpr Duration kBackpressurePollInterval = std::chrono::milliseconds(10);
 constexpr uint32_t kReadAttempts = 6;
 
-// @return position behind `lines` line ends from `from` on.
+// @return the position after skipping `lines` lines from `from`.
 size_t skip_lines(const std::string& content, size_t from, uint64_t lines) {
   for (; lines > 0 && from < content.size(); --lines) {
     from = std::min(content.find('\n', from), content.size() - 1) + 1;
@@ -30,7 +30,7 @@
       writer_(std::move(writer)),
       done_(std::move(done)),
       timer_(dependencies.dispatcher.create_timer([this] {
-        const std::function<void()> step = std::exchange(waiting_step_, nullptr);
+        const std::function<void()> step = std::exchange(pending_step_, nullptr);
         step();
       })) {}
 
@@ -60,7 +60,7 @@
   next_source();
 }
 
-// Chooses the results to send. Those of a job that still runs end at the first gap.
+// Selects the results to send. For a running job, stops at the first chunk without a result.
 void OutputStream::plan(const std::vector<Row>& rows) {
   const JobRow& job = request_.report.job;
   const bool ended = request_.report.ended_us.has_value();
@@ -118,7 +118,7 @@
       end();
       return;
     }
-    waiting_step_ = [this] { next_source(); };
+    pending_step_ = [this] { next_source(); };
     timer_->enable(store_.backoff(failures_));
     return;
   }
@@ -134,8 +134,8 @@
     return;
   }
   if (writer_->buffered_bytes() > knobs_.output_buffer_bytes) {
-    waiting_step_ = [this] { write_slice(); };
-    timer_->enable(kReaderPause);
+    pending_step_ = [this] { write_slice(); };
+    timer_->enable(kBackpressurePollInterval);
     return;
   }
   const size_t begin = position_;
--- a/src/batch/output_stream.h
+++ b/src/batch/output_stream.h
@@ -1,4 +1,4 @@
-// Sends a job's output to one caller.
+// Streams a job's output to one caller.
 #pragma once
 
 #include <deque>
@@ -15,17 +15,18 @@
 
 struct OutputRequest {
   JobReport report;
-  uint64_t after = 0;           // lines of the job to skip, counted by the items' order
+  uint64_t after = 0;           // output lines to skip, in item order
   uint64_t limit = UINT64_MAX;  // lines to send at most
 };
 
-// Streams the result lines in the order of the items, a slice in a turn of the event loop and never
-// far ahead of what the caller reads. While the job runs, the lines up to the first chunk that is
-// not done are sent. A result that cannot be read breaks the answer visibly.
+// Streams the result lines in item order, one slice per event loop iteration, with backpressure
+// from the caller. While the job is running, only the lines before the first unfinished chunk are
+// sent. If a result cannot be read, the response is aborted so that the caller notices the
+// truncation.
 class OutputStream {
  public:
-  // @param done called when the answer has ended or the caller has gone; the stream may be
-  // destroyed in it.
+  // @param done called when the response has ended or the caller has disconnected; may destroy the
+  // stream.
   OutputStream(NodeDependencies& dependencies, BatchStore& store, const BatchKnobs& knobs,
                OutputRequest request, ResponseWriterPtr writer, std::function<void()> done);
 
@@ -34,7 +35,7 @@
  private:
   struct Source {
     std::string object;
-    uint64_t skip = 0;   // lines at its beginning that are not sent
+    uint64_t skip = 0;   // leading lines that are not sent
     uint64_t lines = 0;  // lines to send
   };
 
@@ -52,15 +53,15 @@
   ResponseWriterPtr writer_;
   std::function<void()> done_;
   std::deque<Source> sources_;
-  bool complete_ = false;  // all lines that the job will ever have are behind the plan
+  bool complete_ = false;  // the planned sources cover all remaining lines of the job
   uint64_t next_after_ = 0;
-  bool closed_ = false;  // the caller has gone
+  bool closed_ = false;  // the caller has disconnected
   std::shared_ptr<const std::string> content_;
   size_t position_ = 0;
-  uint64_t lines_left_ = 0;  // of the present source
+  uint64_t lines_left_ = 0;  // of the current source
   uint32_t failures_ = 0;
   TimerPtr timer_;
-  std::function<void()> waiting_step_;
+  std::function<void()> pending_step_;
   Lifetime lifetime_;
 };
 
--- a/src/batch/session_lease.cc
+++ b/src/batch/session_lease.cc
@@ -38,27 +38,29 @@
 }
 
 void SessionLease::create() {
-  // A new id for every try: a creation whose answer was lost may have been deleted by others since.
+  // Every attempt uses a new id: a session whose creation was not confirmed may already have been
+  // deleted by other nodes.
   const std::string session = identity_.id + "-" + std::to_string(identity_.incarnation) + "-" +
                               std::to_string(dependencies_.random.next() % 1'000'000'000);
   const MonotonicTime sent_at = dependencies_.time_source.monotonic_now();
   Transaction transaction;
   transaction.conditions.push_back({session_key(session), 0});
   transaction.writes.push_back({session_key(session), encode_row(next_nonce())});
-  store_.commit(StoreUrgency::kLease, std::move(transaction),
-                lifetime_.guard([this, session, sent_at](Expected<CommitResult> result) {
-                  if (!opening_) {
-                    return;  // closed meanwhile; the others delete the row once it has run out
-                  }
-                  if (!result || !result->committed) {
-                    ++failures_;
-                    renewal_timer_->enable(store_.backoff(failures_));
-                    return;
-                  }
-                  opening_ = false;
-                  session_ = session;
-                  accept(sent_at, result->versions.front());
-                }));
+  store_.commit(
+      StoreUrgency::kLease, std::move(transaction),
+      lifetime_.guard([this, session, sent_at](Expected<CommitResult> result) {
+        if (!opening_) {
+          return;  // closed in the meantime; other nodes delete the row once its lease has expired
+        }
+        if (!result || !result->committed) {
+          ++failures_;
+          renewal_timer_->enable(store_.backoff(failures_));
+          return;
+        }
+        opening_ = false;
+        session_ = session;
+        accept(sent_at, result->versions.front());
+      }));
 }
 
 void SessionLease::renew() {
@@ -78,7 +80,7 @@
       StoreUrgency::kLease, std::move(transaction),
       lifetime_.guard([this, sent_at, nonce, session = session_](Expected<CommitResult> result) {
         if (session != session_) {
-          return;  // closed meanwhile
+          return;  // closed in the meantime
         }
         if (result && result->committed) {
           accept(sent_at, result->versions.front());
@@ -90,13 +92,13 @@
       }));
 }
 
-// Reads the row back after a lost answer or a failed condition.
+// Reads the row back after a lost response or a failed condition.
 void SessionLease::resolve(MonotonicTime sent_at, const std::string& nonce) {
   store_.read(StoreUrgency::kLease, session_key(session_),
               lifetime_.guard(
                   [this, sent_at, nonce, session_id = session_](Expected<std::optional<Row>> row) {
                     if (session_id != session_) {
-                      return;  // closed meanwhile
+                      return;  // closed in the meantime
                     }
                     if (!row) {
                       retry_later();
@@ -111,8 +113,8 @@
                       accept(sent_at, (*row)->version);
                       return;
                     }
-                    // An earlier renewal took effect after its answer was given up: go on from
-                    // there.
+                    // An earlier renewal was committed after its response had been given up:
+                    // continue from its version.
                     version_ = (*row)->version;
                     retry_later();
                   }));
@@ -172,7 +174,7 @@
   transaction.writes.push_back({session_key(session_), std::nullopt});
   session_.clear();
   version_ = 0;
-  // Whether or not it succeeds: an orphaned row is deleted by the others once it has run out.
+  // The result is ignored: other nodes delete an orphaned row once its lease has expired.
   store_.commit(StoreUrgency::kLease, std::move(transaction),
                 lifetime_.guard([done](const Expected<CommitResult>&) { done(); }));
 }
--- a/src/batch/session_lease.h
+++ b/src/batch/session_lease.h
@@ -1,5 +1,5 @@
-// The lease of this node's batch role. Chunk rows name the session as their owner, so one renewal
-// keeps all chunks of the node.
+// Lease of this node's batch role. Chunk rows name the session as their owner, so one renewal
+// extends the ownership of all chunks of the node.
 #pragma once
 
 #include <functional>
@@ -10,31 +10,32 @@
 
 namespace chalkshed {
 
-// A session is a row that its node rewrites at an interval. Another node that has seen the row
-// unchanged for the lease's length and a margin may delete it; from then on every renewal fails
-// and the chunks may be claimed by others. Validity counts from before the renewal was sent, on
-// the monotonic clock; a lapsed lease becomes valid again when a renewal succeeds, since that
-// proves that nobody deleted the row.
+// A session is a row that its node rewrites periodically. Another node that has seen the row
+// unchanged for the lease duration plus a margin may delete it; every later renewal then fails and
+// other nodes may claim the chunks. Validity is measured on the monotonic clock from before the
+// renewal was sent. An expired lease becomes valid again when a renewal succeeds, since this proves
+// that the row has not been deleted.
 class SessionLease {
  public:
   struct Events {
-    std::function<void()> on_valid;   // newly held, or valid again after it had lapsed
-    std::function<void()> on_lapsed;  // side effects must stop; the chunks may still be ours
-    std::function<void()> on_lost;    // the chunks are no longer ours
+    std::function<void()> on_valid;  // newly acquired, or valid again after it had expired
+    std::function<void()>
+        on_lapsed;  // side effects must stop; the chunks may still be owned by this session
+    std::function<void()> on_lost;  // this session no longer owns the chunks
   };
 
   SessionLease(const NodeIdentity& identity, NodeDependencies& dependencies, BatchStore& store,
                const BatchKnobs& knobs, Events events);
 
-  // Begins a session unless there is one.
+  // Opens a session unless one exists.
   void open();
-  // @return whether this node holds a session whose lease has not run out by its own clock.
+  // @return whether this node has a session whose lease has not expired by its own clock.
   bool valid() const;
-  // @return how long the lease is still valid; not above 0 when it is not.
+  // @return the remaining validity of the lease; 0 when it is not valid.
   Duration time_left() const;
-  // @return the session's id; empty while there is none.
+  // @return the session id; empty without a session.
   const std::string& session() const { return session_; }
-  // Ends the session by deleting its row. Its chunks must have been given back.
+  // Closes the session by deleting its row. Its chunks must have been released.
   void close(std::function<void()> done);
 
  private:
--- a/src/batch/session_watch.cc
+++ b/src/batch/session_watch.cc
@@ -3,7 +3,7 @@
 namespace chalkshed {
 
 void SessionWatch::watch(const std::string& session) {
-  if (!dead(session)) {
+  if (!is_dead(session)) {
     observations_.try_emplace(session);
   }
 }
@@ -16,14 +16,14 @@
   return sessions;
 }
 
-std::vector<SessionWatch::Expired> SessionWatch::observe(const std::set<std::string>& asked,
+std::vector<SessionWatch::Expired> SessionWatch::observe(const std::set<std::string>& queried,
                                                          const std::vector<Row>& rows,
                                                          MonotonicTime now) {
   std::vector<Expired> expired;
-  std::set<std::string> missing = asked;
+  std::set<std::string> missing = queried;
   for (const Row& row : rows) {
     missing.erase(row.key);
-    if (dead(row.key)) {
+    if (is_dead(row.key)) {
       continue;
     }
     Observation& observation = observations_[row.key];
--- a/src/batch/session_watch.h
+++ b/src/batch/session_watch.h
@@ -1,4 +1,4 @@
-// Observation of other nodes' sessions, to tell when a lease has surely run out.
+// Observes the sessions of other nodes to determine when their leases have expired.
 #pragma once
 
 #include <map>
@@ -11,33 +11,33 @@
 
 namespace chalkshed {
 
-// A session's lease has run out once its row was seen unchanged for the lease's length and a
-// margin on this node's own clock; clocks of two nodes are never compared. Such a session must
-// then be deleted with a condition on the version seen, before its chunks may be claimed.
+// A session's lease has expired once its row has been seen unchanged for the lease duration plus a
+// margin on this node's clock; clocks of different nodes are never compared. The session must then
+// be deleted, on condition that its version is unchanged, before its chunks may be claimed.
 class SessionWatch {
  public:
   struct Expired {
     std::string session;
     RowVersion version = 0;
-    Duration overdue{0};  // since when it has surely run out
+    Duration overdue{0};  // time since it is known to have expired
   };
 
   explicit SessionWatch(Duration margin) : margin_(margin) {}
 
-  // Watches a session that owns a chunk.
+  // Starts watching a session that owns a chunk.
   void watch(const std::string& session);
-  // @return the sessions watched or seen, and not dead; pass them to observe() with what a scan
-  // sent after this call has found.
+  // @return the watched or observed sessions that are not dead; pass them to observe() with the
+  // rows of a scan that was sent after this call.
   std::set<std::string> watched() const;
-  // @param asked what watched() returned before the scan was sent.
+  // @param queried result of watched() before the scan was sent.
   // @param rows all rows of the session table.
   // @return sessions to delete.
-  std::vector<Expired> observe(const std::set<std::string>& asked, const std::vector<Row>& rows,
+  std::vector<Expired> observe(const std::set<std::string>& queried, const std::vector<Row>& rows,
                                MonotonicTime now);
-  // The session's row is known to be deleted; it never comes back.
+  // Records that the session's row has been deleted; it is never recreated.
   void mark_dead(const std::string& session);
-  bool dead(const std::string& session) const { return dead_.contains(session); }
-  // Forgets the dead sessions but those named.
+  bool is_dead(const std::string& session) const { return dead_.contains(session); }
+  // Removes all dead sessions except the given ones.
   void retain(const std::set<std::string>& sessions);
 
  private:
--- a/src/batch/tenant_shares.cc
+++ b/src/batch/tenant_shares.cc
@@ -5,7 +5,7 @@
 namespace chalkshed {
 namespace {
 
-constexpr double kLeastWeight = 0.001;
+constexpr double kMinWeight = 0.001;
 
 }  // namespace
 
@@ -17,7 +17,7 @@
 void TenantShares::charge(const std::string& tenant, double cost, double weight) {
   const double start = start_tag(tenant);
   virtual_time_ = start;
-  finish_tags_[tenant] = start + cost / std::max(weight, kLeastWeight);
+  finish_tags_[tenant] = start + cost / std::max(weight, kMinWeight);
 }
 
 }  // namespace chalkshed
--- a/src/batch/tenant_shares.h
+++ b/src/batch/tenant_shares.h
@@ -1,4 +1,4 @@
-// Weighted fair sharing between tenants.
+// Weighted fair queueing between tenants.
 #pragma once
 
 #include <map>
@@ -6,12 +6,12 @@
 
 namespace chalkshed {
 
-// Start-time fair queueing. The tenant with the lowest start tag is served next; serving it moves
-// its tag by cost over weight. A tenant that was idle starts at the present virtual time: it
-// neither saves up credit nor waits for others to have their fill, so nobody starves.
+// Start-time fair queueing. The tenant with the lowest start tag is served next; serving it
+// advances its tag by cost / weight. A tenant that was idle starts at the current virtual time: it
+// accumulates no credit and is not delayed by the past service of others, so no tenant starves.
 class TenantShares {
  public:
-  // @return the tenant's start tag; the lowest goes first.
+  // @return the tenant's start tag; the lowest is served first.
   double start_tag(const std::string& tenant) const;
   // Accounts for work of `cost` (any unit, the same for all) done for the tenant.
   void charge(const std::string& tenant, double cost, double weight);
--- a/src/batch/work_demand.cc
+++ b/src/batch/work_demand.cc
@@ -5,8 +5,8 @@
 namespace chalkshed {
 namespace {
 
-// Held work, in items, as a multiple of what the workers can run at once, so that slots do not
-// stand empty while the next chunk is claimed and read.
+// Number of held items as a multiple of what the workers can run concurrently, so that slots do not
+// stay idle while the next chunk is claimed and loaded.
 constexpr uint32_t kPrefetchFactor = 2;
 
 struct HeldItems {
@@ -36,21 +36,21 @@
                        const Chunks& chunks, uint32_t claimed_items)
     : configuration_(configuration) {
   for (const auto& [name, service] : configuration.services) {
-    const uint32_t room = service.kind == ServiceKind::kModel ? slots.available(name) : 0;
-    if (room == 0) {
+    const uint32_t free_slots = service.kind == ServiceKind::kModel ? slots.available(name) : 0;
+    if (free_slots == 0) {
       continue;
     }
     const HeldItems held = held_items(configuration, name, chunks);
-    if (held.unfinished + claimed_items < kPrefetchFactor * (held.running + room)) {
+    if (held.unfinished + claimed_items < kPrefetchFactor * (held.running + free_slots)) {
       services_.insert(name);
     }
   }
 }
 
-bool WorkDemand::wants(const JobRow& job) const {
+bool WorkDemand::has_capacity_for(const JobRow& job) const {
   for (const std::string& model : job.models) {
     const auto service = find_service_of_model(configuration_, model);
-    // Items of unknown models are failed by whoever claims them.
+    // Items of unknown models are failed by the node that claims them.
     if (!service || services_.contains((*service)->name)) {
       return true;
     }
--- a/src/batch/work_demand.h
+++ b/src/batch/work_demand.h
@@ -1,4 +1,4 @@
-// Which services could run more batch items than this node already holds.
+// Determines which services can run more batch items than this node already holds.
 #pragma once
 
 #include <map>
@@ -12,18 +12,18 @@
 
 namespace chalkshed {
 
-// A snapshot; cheap to take when no worker has room for batch.
+// A snapshot; cheap to construct when no worker has free batch capacity.
 class WorkDemand {
  public:
   using Chunks = std::map<ChunkId, std::unique_ptr<ChunkRun>>;
 
-  // @param claimed_items items of the claims whose answers are still to come.
+  // @param claimed_items items of the claims in flight.
   WorkDemand(const Configuration& configuration, const BatchSlots& slots, const Chunks& chunks,
              uint32_t claimed_items);
 
-  // Whether some service wants work, or items of unknown models may have to be failed.
-  bool wants_any() const { return !services_.empty(); }
-  bool wants(const JobRow& job) const;
+  // Whether any service has capacity.
+  bool has_capacity() const { return !services_.empty(); }
+  bool has_capacity_for(const JobRow& job) const;
 
  private:
   const Configuration& configuration_;
--- a/src/batch/work_finder.cc
+++ b/src/batch/work_finder.cc
@@ -5,21 +5,21 @@
 namespace chalkshed {
 namespace {
 
-// Gathers what several chunks want to have read.
+// Coalesces refresh requests of several chunks.
 constexpr Duration kRefreshDelay = std::chrono::milliseconds(20);
-// How long the node that is to delete an expired session may take.
-constexpr Duration kDeletionPatience = std::chrono::seconds(3);
+// Time after which other nodes delete an expired session in place of the responsible node.
+constexpr Duration kDeletionTimeout = std::chrono::seconds(3);
 
 }  // namespace
 
 WorkFinder::WorkFinder(const NodeIdentity& identity, NodeDependencies& dependencies,
-                       const MembershipView& membership, BatchStore& store, OpenJobCache& board,
+                       const MembershipView& membership, BatchStore& store, OpenJobCache& open_jobs,
                        const BatchKnobs& knobs, Events events)
     : identity_(identity),
       dependencies_(dependencies),
       membership_(membership),
       store_(store),
-      board_(board),
+      open_jobs_(open_jobs),
       knobs_(knobs),
       events_(std::move(events)),
       finisher_(dependencies, store),
@@ -63,15 +63,15 @@
       lifetime_.guard([this](Expected<std::vector<Row>> rows) { on_open_jobs(std::move(rows)); }));
 }
 
-// Nodes begin at evenly spaced chunks of a job, so that they seldom claim the same one.
+// Nodes start at evenly spaced chunks of a job, so that they rarely claim the same one.
 void WorkFinder::update_position() {
   const std::vector<Member> members = membership_.members();
   const auto self = std::find_if(members.begin(), members.end(), [this](const Member& member) {
     return member.id == identity_.id;
   });
   if (self != members.end()) {
-    board_.set_node_position(static_cast<double>(self - members.begin()) /
-                             static_cast<double>(members.size()));
+    open_jobs_.set_node_position(static_cast<double>(self - members.begin()) /
+                                 static_cast<double>(members.size()));
   }
 }
 
@@ -82,7 +82,7 @@
     return;
   }
   failures_ = 0;
-  for (const JobId& job : board_.update_open_jobs(*rows)) {
+  for (const JobId& job : open_jobs_.update_open_jobs(*rows)) {
     events_.on_cancelled(job);
   }
   scans_ = jobs_to_scan();
@@ -93,13 +93,13 @@
   std::set<JobId> chosen;
   JobId idle;
   JobId first_idle;
-  const auto dead = [this](const std::string& session) { return session_dead(session); };
-  for (const auto& [id, job] : board_.jobs()) {
-    if (ends_here(id)) {
+  const auto is_dead = [this](const std::string& session) { return is_session_dead(session); };
+  for (const auto& [id, job] : open_jobs_.jobs()) {
+    if (is_job_finisher(id)) {
       chosen.insert(id);
       continue;
     }
-    if (board_.candidate(id, dead)) {
+    if (open_jobs_.candidate(id, is_dead)) {
       continue;
     }
     first_idle = first_idle.empty() ? id : first_idle;
@@ -113,7 +113,7 @@
   return {chosen.rbegin(), chosen.rend()};
 }
 
-bool WorkFinder::ends_here(const JobId& job) const {
+bool WorkFinder::is_job_finisher(const JobId& job) const {
   return rendezvous_owner(job, membership_.members()) == identity_.id;
 }
 
@@ -129,13 +129,13 @@
 
 template <typename Done>
 void WorkFinder::scan_job(const JobId& job, Done done) {
-  const CachedJob* known = board_.find(job);
+  const CachedJob* known = open_jobs_.find(job);
   if (known == nullptr) {
     done();
     return;
   }
-  // Whether the job is cancelled must be known before its chunks are read: only then can no claim
-  // follow the reading.
+  // The cancellation state must be known before the chunks are read: only then can no claim succeed
+  // after the read.
   store_.scan_all(StoreUrgency::kBackground, kChunkTable, chunk_prefix(job),
                   lifetime_.guard([this, row = known->row, done](Expected<std::vector<Row>> rows) {
                     on_chunks(row, std::move(rows));
@@ -147,36 +147,36 @@
   if (!rows) {
     return;
   }
-  board_.update_chunks(job.job.id, *rows);
-  const auto dead = [this](const std::string& session) { return session_dead(session); };
-  const auto end = finisher_.end_of(job, *rows, dead);
+  open_jobs_.update_chunks(job.job.id, *rows);
+  const auto is_dead = [this](const std::string& session) { return is_session_dead(session); };
+  const auto end = finisher_.job_end(job, *rows, is_dead);
   if (!end) {
     return;
   }
   finisher_.end_job(job, *end, lifetime_.guard([this, id = job.job.id](bool ended) {
     if (ended) {
-      board_.remove(id);
+      open_jobs_.remove(id);
     }
   }));
 }
 
 void WorkFinder::check_sessions() {
-  const std::set<std::string> owners = board_.owners();
+  const std::set<std::string> owners = open_jobs_.owners();
   watch_.retain(owners);
   for (const std::string& session : owners) {
     watch_.watch(session);
   }
-  const std::set<std::string> asked = watch_.watched();
-  if (asked.empty()) {
+  const std::set<std::string> queried = watch_.watched();
+  if (queried.empty()) {
     end_round();
     return;
   }
   store_.scan_all(StoreUrgency::kBackground, session_key("").table, "",
-                  lifetime_.guard([this, asked](Expected<std::vector<Row>> rows) {
+                  lifetime_.guard([this, queried](Expected<std::vector<Row>> rows) {
                     if (rows) {
                       const MonotonicTime now = dependencies_.time_source.monotonic_now();
-                      for (const auto& expired : watch_.observe(asked, *rows, now)) {
-                        if (deletes_here(expired)) {
+                      for (const auto& expired : watch_.observe(queried, *rows, now)) {
+                        if (should_delete(expired)) {
                           delete_session(expired);
                         }
                       }
@@ -185,14 +185,15 @@
                   }));
 }
 
-// One node deletes an expired session; the others step in if it does not.
-bool WorkFinder::deletes_here(const SessionWatch::Expired& expired) const {
+// One node is responsible for deleting an expired session; the others delete it if that node fails
+// to.
+bool WorkFinder::should_delete(const SessionWatch::Expired& expired) const {
   if (rendezvous_owner(expired.session, membership_.members()) == identity_.id) {
     return true;
   }
   return expired.overdue >
-         kDeletionPatience + Duration(static_cast<int64_t>(dependencies_.random.below(
-                                 static_cast<uint64_t>(kDeletionPatience.count()))));
+         kDeletionTimeout + Duration(static_cast<int64_t>(dependencies_.random.below(
+                                static_cast<uint64_t>(kDeletionTimeout.count()))));
 }
 
 void WorkFinder::delete_session(const SessionWatch::Expired& expired) {
@@ -202,7 +203,7 @@
   store_.commit(StoreUrgency::kBackground, std::move(transaction),
                 lifetime_.guard([this, session = expired.session](Expected<CommitResult> result) {
                   if (!result || !result->committed) {
-                    return;  // the next round sees what became of it
+                    return;  // the next round reads the current state
                   }
                   dependencies_.logger.write(LogLevel::kWarning, "batch_session_expired",
                                              {{"session", session}});
@@ -217,7 +218,7 @@
     return;
   }
   const Duration interval = store_.shared_interval(knobs_.polls_per_second, knobs_.poll_interval);
-  // Jitter of a quarter keeps the nodes from marching in step.
+  // Jitter of up to a quarter of the interval prevents the nodes from polling in lockstep.
   const auto quarter = static_cast<uint64_t>(interval.count() / 4);
   const Duration failure_pause = failures_ == 0 ? Duration(0) : store_.backoff(failures_);
   const Duration jitter(static_cast<int64_t>(dependencies_.random.below(quarter + 1)));
--- a/src/batch/work_finder.h
+++ b/src/batch/work_finder.h
@@ -1,4 +1,4 @@
-// Finds work in the table: open jobs, free chunks, sessions whose lease has run out, jobs to end.
+// Polls the table for open jobs, claimable chunks, expired sessions and jobs to end.
 #pragma once
 
 #include <functional>
@@ -14,25 +14,25 @@
 
 namespace chalkshed {
 
-// Looks at the open jobs at an interval that grows with the number of live nodes. In each round:
-// the list of open jobs; the chunks of the jobs that this node is to end (a rendezvous choice) and
-// of one more whose known chunks are all taken; the sessions, if others own chunks.
+// Polls at an interval that grows with the number of live nodes. Each round reads the list of open
+// jobs; the chunks of the jobs that this node is responsible for ending (by rendezvous hashing) and
+// of one other job without claimable chunks; and the sessions, if other nodes own chunks.
 class WorkFinder {
  public:
   struct Events {
-    std::function<void(const JobId&)> on_cancelled;  // learned that a job is cancelled
+    std::function<void(const JobId&)> on_cancelled;  // a job was found to be cancelled
     std::function<void()> on_found;                  // a round ended; chunks may be claimable
   };
 
   WorkFinder(const NodeIdentity& identity, NodeDependencies& dependencies,
-             const MembershipView& membership, BatchStore& store, OpenJobCache& board,
+             const MembershipView& membership, BatchStore& store, OpenJobCache& open_jobs,
              const BatchKnobs& knobs, Events events);
 
   void start();
   void stop();
-  // Has the job's chunks read soon, apart from the rounds.
+  // Schedules a scan of the job's chunks outside of the regular rounds.
   void refresh(const JobId& job);
-  bool session_dead(const std::string& session) const { return watch_.dead(session); }
+  bool is_session_dead(const std::string& session) const { return watch_.is_dead(session); }
 
  private:
   void begin_round();
@@ -41,11 +41,11 @@
   void scan_requested();
   template <typename Done>
   void scan_job(const JobId& job, Done done);
-  bool ends_here(const JobId& job) const;
+  bool is_job_finisher(const JobId& job) const;
   void scan_jobs();
   void on_chunks(const OpenJobRow& job, Expected<std::vector<Row>> rows);
   void check_sessions();
-  bool deletes_here(const SessionWatch::Expired& expired) const;
+  bool should_delete(const SessionWatch::Expired& expired) const;
   void delete_session(const SessionWatch::Expired& expired);
   void end_round();
   void update_position();
@@ -54,7 +54,7 @@
   NodeDependencies& dependencies_;
   const MembershipView& membership_;
   BatchStore& store_;
-  OpenJobCache& board_;
+  OpenJobCache& open_jobs_;
   const BatchKnobs& knobs_;
   Events events_;
   JobFinisher finisher_;
@@ -63,10 +63,10 @@
   TimerPtr refresh_timer_;
   bool stopped_ = true;
   bool in_round_ = false;
-  uint32_t failures_ = 0;  // rounds in a row that found the store unavailable
+  uint32_t failures_ = 0;  // consecutive rounds in which the store was unavailable
   std::set<JobId> requested_;
-  std::vector<JobId> scans_;  // still to do in this round
-  JobId last_idle_scan_;      // rotates over the jobs
+  std::vector<JobId> scans_;  // pending in this round
+  JobId last_idle_scan_;      // for round-robin over the jobs
   Lifetime lifetime_;
 };
 
--- a/tests/batch/batch_cluster.cc
+++ b/tests/batch/batch_cluster.cc
@@ -35,7 +35,7 @@
   PolicyDecision evaluate(const RequestAttributes&) override { return {}; }
 };
 
-// Counts what a node posts, to see that long work is sliced.
+// Counts a node's posted callbacks, to verify that long work is sliced.
 class CountingDispatcher : public Dispatcher {
  public:
   explicit CountingDispatcher(Dispatcher& inner) : inner_(inner) {}
@@ -145,7 +145,7 @@
   std::function<void()> changed_;
 };
 
-// Engines generate on the clock of the world: a frozen node does not stop them.
+// Engines generate on the global virtual clock, so a frozen node does not stop them.
 class BatchCluster::Engines : public EngineClient {
  public:
   Engines(BatchCluster& cluster, VirtualDispatcher& loop) : cluster_(cluster), loop_(loop) {}
@@ -158,8 +158,8 @@
     stream->state->next = static_cast<uint32_t>(stream->state->request.resumed_tokens.size());
     stream->state->deadline =
         cluster_.clock_.monotonic_now() + stream->state->request.time_limit.value_or(kForever);
-    cluster_.fleet_.started.push_back(stream->state->request.prompt);
-    ++cluster_.fleet_.active;
+    cluster_.worker_log_.started.push_back(stream->state->request.prompt);
+    ++cluster_.worker_log_.active;
     step(stream->state, &cluster_, &loop_);
     return stream;
   }
@@ -179,8 +179,8 @@
     std::shared_ptr<State> state;
   };
 
-  // Static: an engine outlives the node whose client this is. The loop does not; it is used only
-  // while the node's stream stands.
+  // Static because an engine outlives its client's node. The loop does not, and is used only while
+  // the node's stream exists.
   static void step(const std::shared_ptr<State>& state, BatchCluster* cluster,
                    VirtualDispatcher* loop) {
     cluster->clock_.schedule(cluster->options_.token_time,
@@ -198,25 +198,25 @@
 
   static void on_step(const std::shared_ptr<State>& state, BatchCluster& cluster,
                       VirtualDispatcher& loop) {
-    FleetLog& fleet = cluster.fleet_;
+    WorkerLog& worker_log = cluster.worker_log_;
     const std::string& prompt = state->request.prompt;
     if (state->callbacks == nullptr) {
-      --fleet.active;
+      --worker_log.active;
       return;
     }
     if (cluster.clock_.monotonic_now() >= state->deadline) {
-      --fleet.active;
+      --worker_log.active;
       fail(loop, state, "the time limit is reached");
       return;
     }
-    if (auto found = fleet.failures_to_give.find(prompt);
-        found != fleet.failures_to_give.end() && found->second > 0) {
+    if (auto found = worker_log.injected_failures.find(prompt);
+        found != worker_log.injected_failures.end() && found->second > 0) {
       --found->second;
-      --fleet.active;
+      --worker_log.active;
       fail(loop, state, "the stream broke");
       return;
     }
-    fleet.last_token[prompt] = cluster.clock_.monotonic_now();
+    worker_log.last_token[prompt] = cluster.clock_.monotonic_now();
     GenerateChunk chunk;
     chunk.first_index = state->next;
     chunk.tokens = {prompt + "#" + std::to_string(state->next) + " "};
@@ -226,8 +226,8 @@
       step(state, &cluster, &loop);
       return;
     }
-    --fleet.active;
-    ++fleet.completions[prompt];
+    --worker_log.active;
+    ++worker_log.completions[prompt];
     GenerateResult result;
     result.finish_reason = FinishReason::kLength;
     result.completion_tokens = state->next;
@@ -244,7 +244,7 @@
   VirtualDispatcher& loop_;
 };
 
-// Calls between nodes take a millisecond.
+// Delivers calls between nodes with a latency of one millisecond.
 class BatchCluster::Network {
  public:
   explicit Network(BatchCluster& cluster) : cluster_(cluster) {}
@@ -389,11 +389,11 @@
 void BatchCluster::freeze(size_t node) { nodes_[node]->loop.freeze(); }
 void BatchCluster::thaw(size_t node) { nodes_[node]->loop.thaw(); }
 
-void BatchCluster::cut_from_peers(size_t node) { network_->forget(node); }
+void BatchCluster::disconnect_from_peers(size_t node) { network_->forget(node); }
 
-void BatchCluster::cut_from_store(size_t node, bool cut) {
-  nodes_[node]->table.set_reachable(!cut);
-  nodes_[node]->objects.set_reachable(!cut);
+void BatchCluster::set_store_unreachable(size_t node, bool unreachable) {
+  nodes_[node]->table.set_reachable(!unreachable);
+  nodes_[node]->objects.set_reachable(!unreachable);
 }
 
 void BatchCluster::set_slots(size_t node, uint32_t slots) {
--- a/tests/batch/batch_faults_test.cc
+++ b/tests/batch/batch_faults_test.cc
@@ -1,4 +1,4 @@
-// Jobs under failures: lost owners, lapsed leases, lost answers, cancelling, outages.
+// Jobs under faults: lost owners, expired leases, lost responses, cancellation, store outages.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -15,10 +15,10 @@
 constexpr uint32_t kItems = 200;
 constexpr uint32_t kTokens = 20;
 
-// @return the time at which some item of the job last got a token.
-MonotonicTime last_work(const FleetLog& fleet) {
+// @return the time of the last generated token of any item.
+MonotonicTime last_work(const WorkerLog& worker_log) {
   MonotonicTime last{};
-  for (const auto& [prompt, time] : fleet.last_token) {
+  for (const auto& [prompt, time] : worker_log.last_token) {
     last = std::max(last, time);
   }
   return last;
@@ -52,12 +52,12 @@
   cluster.freeze(0);
   EXPECT_TRUE(cluster.run_until(1, job, "completed", minutes(2)));
   const auto before = cluster.output(1, job);
-  const size_t started = cluster.fleet().started.size();
+  const size_t started = cluster.worker_log().started.size();
   cluster.thaw(0);
   cluster.run_for(minutes(1));
   expect_complete(before, "item", kItems, kTokens);
   EXPECT_EQ(cluster.output(1, job), before);
-  EXPECT_EQ(cluster.fleet().started.size(), started) << "the thawed owner started items";
+  EXPECT_EQ(cluster.worker_log().started.size(), started) << "the thawed owner started items";
 }
 
 TEST(BatchFaultsTest, LostCommitAnswersAreResolved) {
@@ -90,7 +90,7 @@
   BatchCluster cluster({});
   const HttpHeaders key = {{"Idempotency-Key", "key"}};
   const auto lost = cluster.send(0, "POST", "/v1/batches", job_lines("item", 20), key);
-  // Dies right after its commit took effect.
+  // The node fails right after its commit has succeeded.
   while (cluster.platform().table().size() == 0) {
     cluster.run_for(Duration(100));
   }
@@ -99,8 +99,8 @@
   const std::string job = cluster.submit(1, job_lines("item", 20), key);
   EXPECT_TRUE(cluster.run_until(1, job, "completed", seconds(30)));
   expect_complete(cluster.output(1, job), "item", 20);
-  EXPECT_EQ(cluster.fleet().completions.size(), 20U);
-  for (const auto& [prompt, count] : cluster.fleet().completions) {
+  EXPECT_EQ(cluster.worker_log().completions.size(), 20U);
+  for (const auto& [prompt, count] : cluster.worker_log().completions) {
     EXPECT_EQ(count, 1U) << prompt;
   }
 }
@@ -114,21 +114,21 @@
   EXPECT_EQ(answer->status, 200);
   EXPECT_EQ(cluster.status(2, job), "cancelling");
   EXPECT_TRUE(cluster.run_until(2, job, "cancelled", seconds(20)));
-  const size_t started = cluster.fleet().started.size();
+  const size_t started = cluster.worker_log().started.size();
   const MonotonicTime reported = cluster.clock().monotonic_now();
   EXPECT_LT(started, kItems);
   cluster.run_for(minutes(1));
-  EXPECT_EQ(cluster.fleet().started.size(), started);
-  EXPECT_LT(last_work(cluster.fleet()), reported);
+  EXPECT_EQ(cluster.worker_log().started.size(), started);
+  EXPECT_LT(last_work(cluster.worker_log()), reported);
 }
 
 TEST(BatchFaultsTest, CutOffOwnerHasStoppedWhenTheJobIsReportedCancelled) {
   BatchCluster cluster({});
-  // Items that outlast every lease, so that only the time limit can end them.
+  // Items that run longer than any lease, so that only the time limit can end them.
   const std::string job = cluster.submit(0, job_lines("item", kItems, 20'000));
   cluster.run_for(seconds(2));
   cluster.freeze(0);
-  cluster.cut_from_store(1, true);
+  cluster.set_store_unreachable(1, true);
   const auto answer = cluster.send(2, "POST", "/v1/batches/" + job + "/cancel");
   cluster.wait(*answer);
   EXPECT_EQ(answer->status, 200);
@@ -136,12 +136,12 @@
   EXPECT_EQ(cluster.status(2, job), "cancelling");
   EXPECT_TRUE(cluster.run_until(2, job, "cancelled", minutes(2)));
   const MonotonicTime reported = cluster.clock().monotonic_now();
-  const size_t started = cluster.fleet().started.size();
+  const size_t started = cluster.worker_log().started.size();
   cluster.thaw(0);
-  cluster.cut_from_store(1, false);
+  cluster.set_store_unreachable(1, false);
   cluster.run_for(minutes(1));
-  EXPECT_EQ(cluster.fleet().started.size(), started);
-  EXPECT_LT(last_work(cluster.fleet()), reported);
+  EXPECT_EQ(cluster.worker_log().started.size(), started);
+  EXPECT_LT(last_work(cluster.worker_log()), reported);
 }
 
 TEST(BatchFaultsTest, CompletedJobCannotBeCancelled) {
@@ -167,7 +167,7 @@
   EXPECT_NE(refused->body.find("\"ran\":\"no\""), std::string::npos) << refused->body;
   const uint64_t refusals = cluster.platform().table_service().counters.refused;
   cluster.run_for(seconds(30));
-  // Backing off: three nodes, some tries a second at most each.
+  // With backoff, each of the three nodes makes at most a few attempts per second.
   EXPECT_LT(cluster.platform().table_service().counters.refused - refusals, 300U);
   cluster.platform().table_service().faults.outage = false;
   cluster.platform().object_service().faults.outage = false;
--- a/tests/batch/batch_safeguards_test.cc
+++ b/tests/batch/batch_safeguards_test.cc
@@ -1,4 +1,5 @@
-// Each guarantee holds in a scenario made for it, and fails there once its mechanism is off.
+// For each safeguard: its guarantee holds in a scenario with the safeguard and is violated without
+// it.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -18,9 +19,10 @@
   return options;
 }
 
-// A frozen owner thaws behind a takeover. The lease is not checked, so that the epoch alone guards.
+// A frozen owner resumes after a takeover. The lease check is disabled, so that only the epoch
+// check protects.
 // @return whether a result changed after the job had completed.
-bool completes_anew(bool epoch_checked) {
+bool result_changes_after_completion(bool epoch_checked) {
   BatchSafeguards safeguards;
   safeguards.lease_checked_before_side_effects = false;
   safeguards.epoch_checked_at_commit = epoch_checked;
@@ -36,11 +38,11 @@
 }
 
 TEST(BatchSafeguardsTest, EpochKeepsASupersededOwnerFromCompletingAnew) {
-  EXPECT_FALSE(completes_anew(true));
-  EXPECT_TRUE(completes_anew(false));
+  EXPECT_FALSE(result_changes_after_completion(true));
+  EXPECT_TRUE(result_changes_after_completion(false));
 }
 
-// @return whether a frozen owner worked after its job was reported as cancelled.
+// @return whether a frozen owner started items after its job was reported as cancelled.
 bool frozen_owner_works_after_cancel(bool lease_checked) {
   BatchSafeguards safeguards;
   safeguards.lease_checked_before_side_effects = lease_checked;
@@ -48,13 +50,13 @@
   const std::string job = cluster.submit(0, job_lines("item", 2000, 20));
   cluster.run_for(milliseconds(200));
   cluster.freeze(0);
-  cluster.cut_from_peers(0);
+  cluster.disconnect_from_peers(0);
   cluster.wait(*cluster.send(1, "POST", "/v1/batches/" + job + "/cancel"));
   EXPECT_TRUE(cluster.run_until(1, job, "cancelled", minutes(2)));
-  const size_t started = cluster.fleet().started.size();
+  const size_t started = cluster.worker_log().started.size();
   cluster.thaw(0);
   cluster.run_for(minutes(1));
-  return cluster.fleet().started.size() != started;
+  return cluster.worker_log().started.size() != started;
 }
 
 TEST(BatchSafeguardsTest, LeaseKeepsAFrozenOwnerFromWorkingAfterACancel) {
@@ -62,8 +64,8 @@
   EXPECT_TRUE(frozen_owner_works_after_cancel(false));
 }
 
-// A node with a valid lease that has not heard of the cancellation.
-// @return whether it worked after the job was reported as cancelled.
+// A node with a valid lease that has missed the cancellation.
+// @return whether it started items after the job was reported as cancelled.
 bool unaware_node_works_after_cancel(bool cancel_checked) {
   BatchSafeguards safeguards;
   safeguards.cancel_checked_at_commit = cancel_checked;
@@ -78,11 +80,11 @@
   cluster.freeze(0);
   cluster.wait(*cluster.send(1, "POST", "/v1/batches/" + job + "/cancel"));
   EXPECT_TRUE(cluster.run_until(1, job, "cancelled", seconds(10)));
-  const size_t started = cluster.fleet().started.size();
+  const size_t started = cluster.worker_log().started.size();
   cluster.set_slots(0, 8);
   cluster.thaw(0);
   cluster.run_for(minutes(1));
-  return cluster.fleet().started.size() != started;
+  return cluster.worker_log().started.size() != started;
 }
 
 TEST(BatchSafeguardsTest, CancelIsCheckedWhenAChunkIsClaimed) {
@@ -90,7 +92,7 @@
   EXPECT_TRUE(unaware_node_works_after_cancel(false));
 }
 
-// @return whether a resend made a second job.
+// @return whether a resubmission created a second job.
 bool resend_makes_a_second_job(bool idempotency_checked) {
   BatchSafeguards safeguards;
   safeguards.idempotency_checked = idempotency_checked;
@@ -105,8 +107,8 @@
   EXPECT_TRUE(resend_makes_a_second_job(false));
 }
 
-// @return whether a submission that took effect was answered as not run.
-bool refused_submission_runs(bool read_back) {
+// @return whether a committed submission was reported as not run.
+bool rejected_submission_runs(bool read_back) {
   BatchSafeguards safeguards;
   safeguards.read_back_lost_commits = read_back;
   BatchCluster cluster(with(safeguards));
@@ -119,15 +121,15 @@
   cluster.platform().table_service().faults.lost_answer_probability = 0;
   cluster.run_for(seconds(20));
   const bool said_not_run = answer->body.find("\"ran\":\"no\"") != std::string::npos;
-  return said_not_run && !cluster.fleet().started.empty();
+  return said_not_run && !cluster.worker_log().started.empty();
 }
 
 TEST(BatchSafeguardsTest, LostCommitAnswerIsNeverReportedAsNotRun) {
-  EXPECT_FALSE(refused_submission_runs(true));
-  EXPECT_TRUE(refused_submission_runs(false));
+  EXPECT_FALSE(rejected_submission_runs(true));
+  EXPECT_TRUE(rejected_submission_runs(false));
 }
 
-// @return whether a job that was acknowledged is lost with the node that did so.
+// @return whether an acknowledged job is lost with the node that acknowledged it.
 bool acknowledged_job_is_lost(bool acknowledge_after_commit) {
   BatchSafeguards safeguards;
   safeguards.acknowledge_after_commit = acknowledge_after_commit;
--- a/tests/batch/batch_service_test.cc
+++ b/tests/batch/batch_service_test.cc
@@ -1,4 +1,4 @@
-// The whole path of a job: accept, run, finish, read; and bad input.
+// End-to-end tests of jobs (submission, execution, completion, output) and of invalid input.
 #include "src/batch/batch_service.h"
 
 #include <gtest/gtest.h>
@@ -16,8 +16,8 @@
   const std::string job = cluster.submit(0, job_lines("item", 200));
   EXPECT_TRUE(cluster.run_until(1, job, "completed", seconds(20)));
   expect_complete(cluster.output(2, job), "item", 200);
-  EXPECT_EQ(cluster.fleet().completions.size(), 200U);
-  for (const auto& [prompt, count] : cluster.fleet().completions) {
+  EXPECT_EQ(cluster.worker_log().completions.size(), 200U);
+  for (const auto& [prompt, count] : cluster.worker_log().completions) {
     EXPECT_EQ(count, 1U) << prompt;
   }
 }
@@ -41,7 +41,7 @@
   EXPECT_EQ(answer->status, 400);
   EXPECT_NE(answer->body.find("line 3"), std::string::npos) << answer->body;
   cluster.run_for(seconds(5));
-  EXPECT_TRUE(cluster.fleet().started.empty());
+  EXPECT_TRUE(cluster.worker_log().started.empty());
 }
 
 TEST(BatchServiceTest, DeeplyNestedLineIsRefusedAndDoesNotOverflowTheStack) {
@@ -127,7 +127,7 @@
 
 TEST(BatchServiceTest, BrokenStreamsAreRetried) {
   BatchCluster cluster({});
-  cluster.fleet().failures_to_give["item3"] = 4;
+  cluster.worker_log().injected_failures["item3"] = 4;
   const std::string job = cluster.submit(0, job_lines("item", 20));
   EXPECT_TRUE(cluster.run_until(0, job, "completed", seconds(30)));
   expect_complete(cluster.output(0, job), "item", 20);
@@ -147,7 +147,7 @@
   cluster.submit(0, job_lines("second", 400));
 }
 
-// A turn of the event loop handles few lines, however large the job.
+// The number of lines parsed per event loop iteration is independent of the job size.
 TEST(BatchServiceTest, LargeJobIsParsedInSlices) {
   BatchCluster::Options options;
   options.nodes = 1;
--- a/tests/batch/batch_state_test.cc
+++ b/tests/batch/batch_state_test.cc
@@ -1,5 +1,5 @@
-// Stateful fuzzing: random submissions, resends, cancels and faults against an oracle that knows
-// only what was offered, acknowledged and cancelled.
+// Model-based test: random submissions, resubmissions, cancellations and faults, checked against a
+// model of what was submitted, acknowledged and cancelled.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 #include <rapidcheck/state.h>
@@ -20,29 +20,29 @@
 constexpr uint32_t kItems = 40;
 constexpr uint32_t kTokens = 10;
 
-// The oracle's state.
+// State of the model.
 struct Model {
-  std::map<uint32_t, bool> offered;  // by key: whether a cancel was asked for
+  std::map<uint32_t, bool> submitted;  // by key: whether cancellation was requested
 };
 
-// The cluster, and what its callers were told.
+// The cluster and the responses received by its callers.
 struct System {
   System() : cluster({}) {}
 
   BatchCluster cluster;
   std::map<uint32_t, std::set<std::string>> jobs;            // by key: ids acknowledged
   std::map<uint32_t, std::shared_ptr<RecordedAnswer>> open;  // by key: the last submission
-  std::map<std::string, size_t> work_when_cancelled;         // by id: attempts started then
+  std::map<std::string, size_t> work_when_cancelled;         // by id: attempts started by that time
 
   static std::string prefix(uint32_t key) { return "key" + std::to_string(key) + "-item"; }
   size_t attempts(uint32_t key) {
     size_t count = 0;
-    for (const std::string& prompt : cluster.fleet().started) {
+    for (const std::string& prompt : cluster.worker_log().started) {
       count += prompt.starts_with(prefix(key)) ? 1 : 0;
     }
     return count;
   }
-  // Notes the id in an answer that has come meanwhile.
+  // Records the job ids of responses received so far.
   void collect() {
     for (auto& [key, answer] : open) {
       if (answer->status == 200 && answer->finished) {
@@ -55,7 +55,8 @@
     open[key] = cluster.send(node, "POST", "/v1/batches", job_lines(prefix(key), kItems, kTokens),
                              {{"Idempotency-Key", std::to_string(key)}});
   }
-  // Work after a reported cancel is an error, whatever happens around it.
+  // Records the attempts at the first report of a cancelled job; check_job() verifies that none
+  // follow.
   void check_cancelled(uint32_t key, size_t node) {
     for (const std::string& job : jobs[key]) {
       if (!work_when_cancelled.contains(job) && cluster.status(node, job) == "cancelled") {
@@ -63,7 +64,7 @@
       }
     }
   }
-  void heal() {
+  void clear_faults() {
     cluster.platform().table_service().faults = {};
     cluster.platform().object_service().faults = {};
     for (size_t node = 0; node < kNodes; ++node) {
@@ -71,9 +72,9 @@
         cluster.restart(node);
       }
       cluster.thaw(node);
-      cluster.cut_from_store(node, false);
+      cluster.set_store_unreachable(node, false);
     }
-    // Until the last circuit breaker has noticed.
+    // Until the last circuit breaker has closed.
     cluster.run_for(seconds(10));
   }
 };
@@ -85,7 +86,7 @@
 struct Submit : Command {
   uint32_t key = *rc::gen::inRange<uint32_t>(0, kKeys);
   size_t node = any_node();
-  void apply(Model& model) const override { model.offered.try_emplace(key, false); }
+  void apply(Model& model) const override { model.submitted.try_emplace(key, false); }
   void run(const Model&, System& system) const override {
     system.submit(key, node);
     system.cluster.run_for(milliseconds(50));
@@ -99,9 +100,9 @@
   uint32_t key = *rc::gen::inRange<uint32_t>(0, kKeys);
   size_t node = any_node();
   void checkPreconditions(const Model& model) const override {
-    RC_PRE(model.offered.contains(key));
+    RC_PRE(model.submitted.contains(key));
   }
-  void apply(Model& model) const override { model.offered[key] = true; }
+  void apply(Model& model) const override { model.submitted[key] = true; }
   void run(const Model&, System& system) const override {
     for (const std::string& job : system.jobs[key]) {
       system.cluster.send(node, "POST", "/v1/batches/" + job + "/cancel");
@@ -130,15 +131,17 @@
   void show(std::ostream& os) const override { os << (freeze ? "freeze " : "thaw ") << node; }
 };
 
-struct CutOrJoin : Command {
+struct ToggleStorePartition : Command {
   size_t node = any_node();
-  bool cut = *rc::gen::arbitrary<bool>();
+  bool unreachable = *rc::gen::arbitrary<bool>();
   void run(const Model&, System& system) const override {
     if (system.cluster.up(node)) {
-      system.cluster.cut_from_store(node, cut);
+      system.cluster.set_store_unreachable(node, unreachable);
     }
   }
-  void show(std::ostream& os) const override { os << (cut ? "cut " : "join ") << node; }
+  void show(std::ostream& os) const override {
+    os << (unreachable ? "disconnect store of " : "reconnect store of ") << node;
+  }
 };
 
 struct StoreFaults : Command {
@@ -179,7 +182,7 @@
   void show(std::ostream& os) const override { os << "advance " << milliseconds_on << " ms"; }
 };
 
-// Resends until acknowledged, then reads the end of the key's job.
+// Resubmits until acknowledged, then checks the final state of the key's job.
 void check_job(System& system, uint32_t key, bool cancel_asked) {
   for (int attempt = 0; attempt < 10 && system.jobs[key].empty(); ++attempt) {
     system.submit(key, 0);
@@ -212,15 +215,15 @@
   Model model;
   System system;
   const auto commands = *rc::state::gen::commands(
-      model,
-      rc::state::gen::execOneOfWithArgs<Submit, Submit, Cancel, KillOrRestart, FreezeOrThaw,
-                                        CutOrJoin, StoreFaults, RevokeSlots, Advance, Advance>());
+      model, rc::state::gen::execOneOfWithArgs<Submit, Submit, Cancel, KillOrRestart, FreezeOrThaw,
+                                               ToggleStorePartition, StoreFaults, RevokeSlots,
+                                               Advance, Advance>());
   rc::state::runAll(commands, model, system);
   for (const auto& command : commands) {
     command->apply(model);
   }
-  system.heal();
-  for (const auto& [key, cancel_asked] : model.offered) {
+  system.clear_faults();
+  for (const auto& [key, cancel_asked] : model.submitted) {
     check_job(system, key, cancel_asked);
   }
 }
--- a/tests/batch/batch_store_load_test.cc
+++ b/tests/batch/batch_store_load_test.cc
@@ -1,4 +1,4 @@
-// What batch work asks of the store, and how it behaves when the store is short.
+// Store load of batch work, and its behaviour when the store's capacity is limited.
 #include <gtest/gtest.h>
 
 #include "tests/batch/batch_cluster.h"
@@ -14,7 +14,7 @@
          cluster.platform().object_service().counters.served;
 }
 
-// 61,000 items in chunks of 256: 239 chunks. Leases, polls and conflicts included.
+// 61,000 items in chunks of 256: 239 chunks. Includes operations for leases, polls and conflicts.
 TEST(BatchStoreLoadTest, OperationsPerChunkStayFew) {
   BatchCluster::Options options;
   options.slots = 64;
@@ -22,7 +22,7 @@
   constexpr uint32_t kItems = 61'000;
   const std::string job = cluster.submit(0, job_lines("item", kItems, 4));
   const uint64_t accepted = operations(cluster);
-  while (cluster.fleet().completions.size() < kItems) {
+  while (cluster.worker_log().completions.size() < kItems) {
     cluster.run_for(seconds(1));
   }
   cluster.run_for(seconds(3));
@@ -36,7 +36,7 @@
   EXPECT_EQ(cluster.status(1, job), "completed");
 }
 
-// The store is limited to fewer operations than the nodes would like.
+// The store's rate limit is below the demand of the nodes.
 TEST(BatchStoreLoadTest, RateLimitedStoreSlowsWorkAndLosesNothing) {
   BatchCluster cluster({});
   cluster.platform().table_service().faults.operations_per_second = 20;
@@ -46,7 +46,7 @@
   expect_complete(cluster.output(1, job), "item", 400, 20);
 }
 
-// Finished results wait in memory up to a bound; then no new items start.
+// Unsaved results are buffered up to a limit; above it no new items are started.
 TEST(BatchStoreLoadTest, UnsavedResultsAreBounded) {
   BatchCluster::Options options;
   options.nodes = 1;
@@ -59,9 +59,9 @@
   cluster.platform().table_service().faults.outage = true;
   cluster.platform().object_service().faults.outage = true;
   cluster.run_for(seconds(30));
-  const size_t started = cluster.fleet().started.size();
+  const size_t started = cluster.worker_log().started.size();
   cluster.run_for(seconds(30));
-  EXPECT_EQ(cluster.fleet().started.size(), started);
+  EXPECT_EQ(cluster.worker_log().started.size(), started);
   EXPECT_LT(started, 100U);
   cluster.platform().table_service().faults.outage = false;
   cluster.platform().object_service().faults.outage = false;
@@ -69,7 +69,7 @@
   expect_complete(cluster.output(0, job), "item", 2000, 4);
 }
 
-// The chunks of a lost node are taken over at the pace that the knobs set.
+// The chunks of a lost node are taken over at the configured rate.
 TEST(BatchStoreLoadTest, TakeoversArePaced) {
   BatchCluster::Options options;
   options.slots = 400;
@@ -80,17 +80,17 @@
   cluster.set_slots(2, 0);
   const std::string job = cluster.submit(0, job_lines("item", 160, 2000));
   cluster.run_for(seconds(2));
-  ASSERT_EQ(cluster.fleet().started.size(), 160U);
+  ASSERT_EQ(cluster.worker_log().started.size(), 160U);
   cluster.kill(0);
   cluster.set_slots(1, 400);
   cluster.set_slots(2, 400);
   cluster.run_for(seconds(17));
-  while (cluster.fleet().started.size() == 160U) {
+  while (cluster.worker_log().started.size() == 160U) {
     cluster.run_for(std::chrono::milliseconds(100));
   }
-  // Ten chunks at one a second over both nodes.
+  // Ten chunks at one per second over both nodes.
   cluster.run_for(seconds(4));
-  EXPECT_LE(cluster.fleet().started.size(), 160U + 16 * 7);
+  EXPECT_LE(cluster.worker_log().started.size(), 160U + 16 * 7);
   EXPECT_TRUE(cluster.run_until(1, job, "completed", minutes(2)));
   expect_complete(cluster.output(1, job), "item", 160, 2000);
 }
--- a/tests/batch/tenant_shares_test.cc
+++ b/tests/batch/tenant_shares_test.cc
@@ -10,7 +10,7 @@
 namespace chalkshed {
 namespace {
 
-// Serves the tenant with the lowest tag `rounds` times, each at a cost of 1.
+// Serves the tenant with the lowest tag `rounds` times at a cost of 1 each.
 std::map<std::string, int> serve(TenantShares& shares, const std::map<std::string, double>& weights,
                                  int rounds) {
   std::map<std::string, int> served;
@@ -40,7 +40,7 @@
   EXPECT_NEAR(served.at("b"), 50, 2);
 }
 
-// A tenant with a small job gets through although another's large job was there first.
+// A small job of one tenant completes although a large job of another tenant was submitted earlier.
 TEST(TenantSharesTest, SmallJobIsNotHeldUpByALargeOne) {
   BatchCluster cluster({});
   cluster.add_tenant("large", 1);
@@ -54,10 +54,10 @@
   const auto answer = cluster.send(1, "GET", "/v1/batches/" + job, "", small);
   cluster.wait(*answer);
   EXPECT_EQ(nlohmann::json::parse(answer->body).at("status"), "completed");
-  EXPECT_LT(cluster.fleet().completions.size(), 20'000U);
+  EXPECT_LT(cluster.worker_log().completions.size(), 20'000U);
 }
 
-// Of one tenant's jobs the one with the earlier deadline goes first.
+// Among the jobs of one tenant, the one with the earlier deadline is run first.
 TEST(TenantSharesTest, EarlierDeadlineGoesFirst) {
   BatchCluster cluster({});
   cluster.submit(0, job_lines("distant", 20'000, 20));
@@ -65,7 +65,7 @@
   const std::string urgent =
       cluster.submit(1, job_lines("urgent", 96, 20), {{"X-Chalkshed-Deadline-Ms", "60000"}});
   EXPECT_TRUE(cluster.run_until(1, urgent, "completed", std::chrono::seconds(20)));
-  EXPECT_LT(cluster.fleet().completions.size(), 20'000U);
+  EXPECT_LT(cluster.worker_log().completions.size(), 20'000U);
 }
 
 }  // namespace
