--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -22,7 +22,7 @@
 
 enum class FieldType { kText, kInteger };
 
-// What a setter found wrong with a value.
+// Validation error of a value.
 struct ValueProblem {
   std::string message;
   std::string remedy;
@@ -51,7 +51,7 @@
   return std::nullopt;
 }
 
-// The problem does not repeat the key, because problems are logged.
+// The problem does not contain the key, because problems are logged.
 std::optional<ValueProblem> set_key(std::string& target, const std::string& value) {
   const bool valid = value.size() >= kMinKeyLength && value.size() <= kMaxKeyLength &&
                      std::all_of(value.begin(), value.end(),
@@ -75,25 +75,25 @@
   return std::nullopt;
 }
 
-// Accepts whole numbers in [lowest, highest].
-std::optional<ValueProblem> read_number(uint64_t& target, const std::string& value, uint64_t lowest,
-                                        uint64_t highest) {
+// Accepts integers in [minimum, maximum].
+std::optional<ValueProblem> read_number(uint64_t& target, const std::string& value,
+                                        uint64_t minimum, uint64_t maximum) {
   uint64_t number = 0;
   const char* end = value.data() + value.size();
   const auto result = std::from_chars(value.data(), end, number);
-  if (result.ec != std::errc() || result.ptr != end || number < lowest || number > highest) {
+  if (result.ec != std::errc() || result.ptr != end || number < minimum || number > maximum) {
     return ValueProblem{
         value + " is out of range",
-        "choose a whole number from " + std::to_string(lowest) + " to " + std::to_string(highest)};
+        "choose an integer from " + std::to_string(minimum) + " to " + std::to_string(maximum)};
   }
   target = number;
   return std::nullopt;
 }
 
 std::optional<ValueProblem> set_seconds(Duration& target, const std::string& value,
-                                        uint64_t highest) {
+                                        uint64_t maximum) {
   uint64_t seconds = 0;
-  std::optional<ValueProblem> problem = read_number(seconds, value, 1, highest);
+  std::optional<ValueProblem> problem = read_number(seconds, value, 1, maximum);
   if (!problem) {
     target = std::chrono::seconds(seconds);
   }
@@ -207,7 +207,7 @@
   return kFields;
 }
 
-// Applies a file and flags to settings and gathers what is wrong.
+// Applies a file and flags to settings and collects all problems.
 class SettingsReader {
  public:
   explicit SettingsReader(std::string file_name) : file_name_(std::move(file_name)) {}
@@ -278,7 +278,7 @@
   } else {
     const bool text = field.type == FieldType::kText;
     add_problem(line, field.name,
-                {text ? "not a string" : "not a whole number",
+                {text ? "not a string" : "not an integer",
                  "write it as in " + field.name + " = " +
                      (text ? "\"" + field.example + "\"" : field.example)});
     return;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,4 +1,4 @@
-// Settings of one chalkshedd process, from a TOML file and flags. Flags win over the file.
+// Settings of one chalkshedd process, from a TOML file and flags. Flags override the file.
 #pragma once
 
 #include <map>
@@ -26,14 +26,14 @@
 
 struct LimitSettings {
   uint64_t max_header_bytes = 32 * 1024;
-  uint64_t max_body_bytes = 256ULL * 1024 * 1024;  // a batch's whole input is one body
+  uint64_t max_body_bytes = 256ULL * 1024 * 1024;  // the whole input of a batch job is one body
   Duration idle_timeout = std::chrono::seconds(30);
-  // How long a planned stop waits for requests under way before it cuts them.
+  // How long a graceful shutdown waits for requests in progress before it aborts them.
   Duration drain_timeout = std::chrono::seconds(120);
 };
 
 struct AdminSettings {
-  std::string key;  // of operators; empty: /admin/ answers loopback peers only
+  std::string key;  // operators' key; empty: /admin/ accepts loopback connections only
 };
 
 struct LogSettings {
@@ -52,7 +52,7 @@
   LogSettings log;
 };
 
-// One thing that is wrong with the settings.
+// An error in the settings.
 struct SettingsProblem {
   std::string source;  // file name, or "flags"
   uint32_t line = 0;   // 0 when the value is missing or came from a flag
@@ -67,16 +67,16 @@
 // Values by field name ("listen.http"), as text.
 using SettingsOverrides = std::map<std::string, std::string>;
 
-// @param content TOML; may be empty when flags give everything.
+// @param content TOML; may be empty when flags set all required fields.
 // @return the settings, or every problem found.
 tl::expected<Settings, std::vector<SettingsProblem>> parse_settings(
     std::string_view content, const std::string& file_name, const SettingsOverrides& overrides);
 
-// Reads the file first. An empty name reads no file.
+// Like parse_settings(), with the content of the file; no file is read if the name is empty.
 tl::expected<Settings, std::vector<SettingsProblem>> load_settings(
     const std::string& file_name, const SettingsOverrides& overrides);
 
-// @return names of all fields that a file or flag may set, in the order of the documentation.
+// @return names of all fields that a file or flag can set, in documentation order.
 std::vector<std::string> settings_fields();
 
 }  // namespace chalkshed
--- a/tests/settings/settings_test.cc
+++ b/tests/settings/settings_test.cc
@@ -8,7 +8,7 @@
 
 using testing::HasSubstr;
 
-// A function of its own: inlined concatenations make GCC 12 warn of bounds wrongly.
+// Not inlined: inlined concatenations cause a false bounds warning in GCC 12.
 [[gnu::noinline]] std::string valid(const std::string& more = {}) {
   std::string content = R"(id = "node-1"
 zone = "a"
