--- a/src/control/bundle_loader.cc
+++ b/src/control/bundle_loader.cc
@@ -11,7 +11,7 @@
 
 namespace fs = std::filesystem;
 
-Error unreadable(const std::string& path, const std::string& problem) {
+Error unreadable_file(const std::string& path, const std::string& problem) {
   return not_run(ErrorKind::kInvalidRequest, path + ": " + problem,
                  "check the path and its permissions");
 }
@@ -19,7 +19,7 @@
 Expected<std::string> read_file(const fs::path& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file || fs::is_directory(path)) {
-    return tl::unexpected(unreadable(path.string(), "cannot be read"));
+    return tl::unexpected(unreadable_file(path.string(), "cannot be read"));
   }
   std::ostringstream content;
   content << file.rdbuf();
@@ -41,7 +41,7 @@
       }
     }
     if (found.empty()) {
-      return tl::unexpected(unreadable(path, "the folder holds no .toml files"));
+      return tl::unexpected(unreadable_file(path, "the folder contains no .toml files"));
     }
     std::sort(found.begin(), found.end());
     documents.insert(documents.end(), found.begin(), found.end());
@@ -49,8 +49,8 @@
   return documents;
 }
 
-// Names of the policy files that a document refers to. What is malformed is left for the check,
-// which names line and field.
+// Names of the policy files that a document refers to. Ignores malformed content; the configuration
+// check reports it with line and field.
 std::vector<std::string> referenced_files(const std::string& text) {
   std::vector<std::string> names;
   try {
@@ -69,7 +69,7 @@
   return names;
 }
 
-bool stays_below(const fs::path& name) {
+bool is_below_document_folder(const fs::path& name) {
   const auto outside = [](const fs::path& part) { return part == ".."; };
   return name.is_relative() && std::none_of(name.begin(), name.end(), outside);
 }
@@ -77,11 +77,11 @@
 std::optional<Error> load_policy_files(const fs::path& document, const std::string& text,
                                        ConfigurationBundle& bundle) {
   for (const std::string& name : referenced_files(text)) {
-    if (!stays_below(name)) {
+    if (!is_below_document_folder(name)) {
       return not_run(ErrorKind::kInvalidRequest,
                      document.string() + ": the policy file \"" + name +
-                         "\" does not lie beside or below the document",
-                     "move it there and write its relative name");
+                         "\" is not in or below the folder of the document",
+                     "move it there and use its relative path");
     }
     auto content = read_file(document.parent_path() / name);
     if (!content) {
--- a/src/control/bundle_loader.h
+++ b/src/control/bundle_loader.h
@@ -1,4 +1,4 @@
-// Reads the operators' configuration files.
+// Loads the operators' configuration files.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
 namespace chalkshed {
 
 // Reads TOML documents and the policy files that they refer to. A folder stands for all *.toml
-// files in it, by name. Policy files are sought relative to the document that names them and may
-// lie only beside or below it. Errors: kInvalidRequest naming the file.
+// files in it, sorted by name. Policy file names are relative to the folder of the document and
+// must not leave it. Errors: kInvalidRequest naming the file.
 Expected<ConfigurationBundle> load_bundle(const std::vector<std::string>& paths);
 
 }  // namespace chalkshed
--- a/src/control/command_runner.cc
+++ b/src/control/command_runner.cc
@@ -14,8 +14,8 @@
 
 using nlohmann::json;
 
-constexpr Duration kAskAgain = std::chrono::milliseconds(500);
-constexpr uint64_t kUsualHistoryLength = 20;
+constexpr Duration kWaitPollInterval = std::chrono::milliseconds(500);
+constexpr uint64_t kDefaultHistoryLength = 20;
 
 HttpRequest get(std::string path, std::string query = "") {
   HttpRequest request;
@@ -38,22 +38,22 @@
   return version ? "version=" + std::to_string(*version) : "";
 }
 
-// Missing fields give the default, so that a newer node does not break an older tool.
+// Returns the fallback for missing fields, so that an older tool works with newer nodes.
 template <typename Value>
-Value field(const std::string& answer, const char* pointer, Value otherwise) {
+Value field(const std::string& answer, const char* pointer, Value fallback) {
   const json root = json::parse(answer, nullptr, false);
   const json::json_pointer where(pointer);
   if (!root.is_object() || !root.contains(where)) {
-    return otherwise;
+    return fallback;
   }
   try {
     return root.at(where).get<Value>();
   } catch (const json::exception&) {
-    return otherwise;
+    return fallback;
   }
 }
 
-std::string indented_difference(const std::string& answer) {
+std::string format_difference(const std::string& answer) {
   const auto difference = field<std::string>(answer, "/difference", "");
   return difference.empty() ? "no difference\n" : difference;
 }
@@ -75,7 +75,7 @@
     case CommandKind::kConfigurationHistory:
       return list(command,
                   get("/admin/configuration/history",
-                      "limit=" + std::to_string(command.limit.value_or(kUsualHistoryLength))));
+                      "limit=" + std::to_string(command.limit.value_or(kDefaultHistoryLength))));
     case CommandKind::kShowConfiguration:
       return show_configuration(command);
     case CommandKind::kCheckConfiguration:
@@ -86,7 +86,7 @@
       return configuration_status(command);
     case CommandKind::kDrainWorker:
     case CommandKind::kRestoreWorker:
-      return order_worker(command);
+      return change_worker_state(command);
     case CommandKind::kShowJob:
     case CommandKind::kCancelJob:
       return handle_job(command);
@@ -106,7 +106,7 @@
   if (command.secrets) {
     query += query.empty() ? "secrets=1" : "&secrets=1";
   }
-  const auto answer = ask(get("/admin/configuration", query), exit_code);
+  const auto answer = call_node(get("/admin/configuration", query), exit_code);
   if (answer) {
     terminal_.output << (command.json ? *answer : field<std::string>(*answer, "/text", ""));
   }
@@ -123,7 +123,7 @@
   request.bundle = *std::move(bundle);
   ExitCode exit_code = ExitCode::kSuccess;
   const auto answer =
-      ask(post("/admin/configuration/check", encode_apply_request(request)), exit_code);
+      call_node(post("/admin/configuration/check", encode_apply_request(request)), exit_code);
   if (!answer) {
     return exit_code;
   }
@@ -132,10 +132,10 @@
     return exit_code;
   }
   terminal_.output << "valid; " << field<uint64_t>(*answer, "/samples", 0)
-                   << " policy samples hold\n"
+                   << " policy samples passed\n"
                    << "difference from version " << field<uint64_t>(*answer, "/current_version", 0)
                    << ":\n"
-                   << indented_difference(*answer);
+                   << format_difference(*answer);
   return exit_code;
 }
 
@@ -161,7 +161,7 @@
       terminal_.output << answer;
     } else if (exit_code == ExitCode::kConflict) {
       terminal_.messages << "changed by others since your base version:\n"
-                         << indented_difference(answer);
+                         << format_difference(answer);
     }
     return exit_code;
   }
@@ -171,8 +171,8 @@
   } else if (!command.json) {
     const bool changed = field<bool>(answer, "/changed", true);
     terminal_.output << "version " << version
-                     << (changed ? " accepted:\n" + indented_difference(answer)
-                                 : " is in force already; nothing to change\n");
+                     << (changed ? " accepted:\n" + format_difference(answer)
+                                 : " is already in force; nothing to change\n");
   }
   return command.wait ? wait_for_version(command, version) : ExitCode::kSuccess;
 }
@@ -187,9 +187,9 @@
 ExitCode CommandRunner::wait_for_version(const OperatorCommand& command,
                                          std::optional<ConfigurationVersion> version) {
   if (!version) {
-    // What is the newest now; later versions do not prolong the wait.
+    // Waits for the version that is the newest now; later versions do not extend the wait.
     ExitCode exit_code = ExitCode::kSuccess;
-    const auto answer = ask(get("/admin/configuration/status"), exit_code);
+    const auto answer = call_node(get("/admin/configuration/status"), exit_code);
     if (!answer) {
       return exit_code;
     }
@@ -211,38 +211,38 @@
 
 // ---- Workers and jobs.
 
-ExitCode CommandRunner::order_worker(const OperatorCommand& command) {
+ExitCode CommandRunner::change_worker_state(const OperatorCommand& command) {
   const bool drain = command.kind == CommandKind::kDrainWorker;
-  const HttpRequest order =
+  const HttpRequest request =
       post("/admin/workers/" + command.name + (drain ? "/drain" : "/restore"));
   if (!command.wait) {
-    return list(command, order);
+    return list(command, request);
   }
   ExitCode exit_code = ExitCode::kSuccess;
-  if (!ask(order, exit_code)) {
+  if (!call_node(request, exit_code)) {
     return exit_code;
   }
-  uint64_t most = 0;
+  uint64_t max_remaining = 0;
   return wait(command, CommandKind::kListWorkers, get("/admin/workers"),
               "sequences finished on " + command.name,
-              [&most, name = command.name](const std::string& answer) {
+              [&max_remaining, name = command.name](const std::string& answer) {
                 Progress progress;
                 progress.complete = true;
-                uint64_t left = 0;
+                uint64_t remaining = 0;
                 for (const json& worker : field<json>(answer, "/workers", json::array())) {
                   if (worker.value("id", "") == name) {
                     const json load = worker.value("load", json::object());
                     for (const char* kind :
                          {"running_online", "running_batch", "waiting_online", "waiting_batch"}) {
-                      left += load.value(kind, uint64_t{0});
+                      remaining += load.value(kind, uint64_t{0});
                     }
-                    left = std::max(left, worker.value("in_flight", uint64_t{0}));
+                    remaining = std::max(remaining, worker.value("in_flight", uint64_t{0}));
                   }
                 }
-                most = std::max(most, left);
-                progress.complete = left == 0;
-                progress.total = most;
-                progress.done = most - left;
+                max_remaining = std::max(max_remaining, remaining);
+                progress.complete = remaining == 0;
+                progress.total = max_remaining;
+                progress.done = max_remaining - remaining;
                 return progress;
               });
 }
@@ -255,7 +255,7 @@
     return list(command, request);
   }
   ExitCode exit_code = ExitCode::kSuccess;
-  if (cancel && !ask(request, exit_code)) {
+  if (cancel && !call_node(request, exit_code)) {
     return exit_code;
   }
   return wait(command, CommandKind::kShowJob, show, "items of " + command.name,
@@ -271,11 +271,11 @@
               });
 }
 
-// ---- What the commands share.
+// ---- Shared helpers.
 
 ExitCode CommandRunner::list(const OperatorCommand& command, const HttpRequest& request) {
   ExitCode exit_code = ExitCode::kSuccess;
-  const auto answer = ask(request, exit_code);
+  const auto answer = call_node(request, exit_code);
   return answer ? print_answer(command, *answer) : exit_code;
 }
 
@@ -292,17 +292,17 @@
   return ExitCode::kSuccess;
 }
 
-ExitCode CommandRunner::wait(const OperatorCommand& command, CommandKind print_as,
-                             const HttpRequest& request, const std::string& what,
+ExitCode CommandRunner::wait(const OperatorCommand& command, CommandKind output_kind,
+                             const HttpRequest& request, const std::string& label,
                              const ReadProgress& read_progress) {
   const MonotonicTime deadline = terminal_.time_source.monotonic_now() + command.wait_limit;
   ExitCode exit_code = ExitCode::kSuccess;
   std::optional<std::string> answer;
   bool complete = false;
   {
-    ProgressBar bar(terminal_, what);
+    ProgressBar bar(terminal_, label);
     while (true) {
-      answer = ask(request, exit_code);
+      answer = call_node(request, exit_code);
       if (!answer) {
         return exit_code;
       }
@@ -312,22 +312,23 @@
       if (complete || terminal_.time_source.monotonic_now() >= deadline) {
         break;
       }
-      terminal_.pause(kAskAgain);
+      terminal_.pause(kWaitPollInterval);
     }
   }
-  OperatorCommand print = command;
-  print.kind = print_as;
-  exit_code = print_answer(print, *answer);
+  OperatorCommand output_command = command;
+  output_command.kind = output_kind;
+  exit_code = print_answer(output_command, *answer);
   if (!complete) {
     terminal_.messages << "chalkshedctl: not complete after "
                        << command.wait_limit / std::chrono::seconds(1)
-                       << " s; it goes on by itself. Wait longer with --timeout=<seconds>\n";
+                       << " s; the operation continues. Wait longer with --timeout=<seconds>\n";
     return ExitCode::kTimedOut;
   }
   return exit_code;
 }
 
-std::optional<std::string> CommandRunner::ask(const HttpRequest& request, ExitCode& exit_code) {
+std::optional<std::string> CommandRunner::call_node(const HttpRequest& request,
+                                                    ExitCode& exit_code) {
   auto response = caller_.call(request);
   if (!response) {
     exit_code = print_error(response.error());
@@ -343,7 +344,7 @@
 ExitCode CommandRunner::print_error(const Error& error) {
   terminal_.messages << "chalkshedctl: " << error.message << "\n  " << error.remedy << "\n";
   if (error.ran == Ran::kUnknown) {
-    terminal_.messages << "  whether the order took effect is unknown\n";
+    terminal_.messages << "  it is unknown whether the operation took effect\n";
   }
   return exit_code_of(error);
 }
--- a/src/control/command_runner.h
+++ b/src/control/command_runner.h
@@ -1,4 +1,4 @@
-// Carries out the operators' commands.
+// Executes the commands of chalkshedctl.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
   ExitCode run(const OperatorCommand& command);
 
  private:
-  // How far a wait has come.
+  // Progress of a wait.
   struct Progress {
     uint64_t done = 0;
     uint64_t total = 0;
@@ -31,20 +31,22 @@
   ExitCode check_configuration(const OperatorCommand& command);
   ExitCode apply_configuration(const OperatorCommand& command);
   ExitCode configuration_status(const OperatorCommand& command);
-  ExitCode order_worker(const OperatorCommand& command);
+  ExitCode change_worker_state(const OperatorCommand& command);
   ExitCode handle_job(const OperatorCommand& command);
 
-  // Calls a node and prints its answer as a table or as JSON.
+  // Calls a node and prints its response as a table or as JSON.
   ExitCode list(const OperatorCommand& command, const HttpRequest& request);
   ExitCode print_answer(const OperatorCommand& command, const std::string& answer);
   ExitCode wait_for_version(const OperatorCommand& command,
                             std::optional<ConfigurationVersion> version);
-  // Asks again until the wait is complete or its limit is over, and prints the last answer.
-  ExitCode wait(const OperatorCommand& command, CommandKind print_as, const HttpRequest& request,
-                const std::string& what, const ReadProgress& read_progress);
-
-  // @return the node's answer, or empty after the error was printed and `exit_code` set.
-  std::optional<std::string> ask(const HttpRequest& request, ExitCode& exit_code);
+  // Polls until the operation is complete or the wait limit is reached, and prints the last
+  // response.
+  ExitCode wait(const OperatorCommand& command, CommandKind output_kind, const HttpRequest& request,
+                const std::string& label, const ReadProgress& read_progress);
+
+  // @return the body of the node's response; on error, prints the error, sets `exit_code` and
+  // returns nothing.
+  std::optional<std::string> call_node(const HttpRequest& request, ExitCode& exit_code);
   ExitCode print_error(const Error& error);
 
   NodeCaller& caller_;
--- a/src/control/exit_code.h
+++ b/src/control/exit_code.h
@@ -7,15 +7,15 @@
 
 enum class ExitCode {
   kSuccess = 0,
-  kRefused = 1,      // the cluster or a check refused; nothing was changed
-  kUsage = 2,        // the command line or a file is wrong
-  kConflict = 3,     // another operator was faster; nothing was changed
-  kUnreachable = 4,  // no node answered
-  kTimedOut = 5,     // what --wait waits for did not come in time
-  kUnknown = 6,      // the change may or may not have been made
+  kRefused = 1,      // rejected by the cluster or a check; nothing was changed
+  kUsage = 2,        // invalid command line or file
+  kConflict = 3,     // conflict with another operator's change; nothing was changed
+  kUnreachable = 4,  // no node responded
+  kTimedOut = 5,     // --wait reached its time limit
+  kUnknown = 6,      // unknown whether the change was made
 };
 
-// @return the code that stands for an error of a node.
+// @return the exit code for an error returned by a node.
 inline ExitCode exit_code_of(const Error& error) {
   if (error.kind == ErrorKind::kOutcomeUnknown) {
     return ExitCode::kUnknown;
--- a/src/control/listings.cc
+++ b/src/control/listings.cc
@@ -12,14 +12,14 @@
 
 constexpr int64_t kMicrosecondsPerSecond = 1'000'000;
 
-// A column: its heading, and where its value lies in an entry.
+// A column: its heading, and the JSON pointer to its value in an entry.
 struct Column {
   const char* heading;
   const char* pointer;
   std::string (*format)(const json& value) = nullptr;
 };
 
-std::string plain(const json& value) {
+std::string format_value(const json& value) {
   if (value.is_string()) {
     return value.get<std::string>().empty() ? "-" : value.get<std::string>();
   }
@@ -29,7 +29,7 @@
   if (value.is_array()) {
     std::string text;
     for (const json& element : value) {
-      text += (text.empty() ? "" : ",") + plain(element);
+      text += (text.empty() ? "" : ",") + format_value(element);
     }
     return text.empty() ? "-" : text;
   }
@@ -53,7 +53,7 @@
 }
 
 struct Listing {
-  const char* entries;  // name of the array in the answer
+  const char* entries;  // name of the array in the response
   std::vector<Column> columns;
 };
 
@@ -129,12 +129,12 @@
   for (const Column& column : columns) {
     const json::json_pointer pointer(column.pointer);
     const json value = entry.contains(pointer) ? entry.at(pointer) : json();
-    row.push_back(column.format != nullptr ? column.format(value) : plain(value));
+    row.push_back(column.format != nullptr ? column.format(value) : format_value(value));
   }
   return row;
 }
 
-// One entry as lines of field and value.
+// Formats one entry as rows of field and value.
 std::string format_fields(const json& entry, const std::vector<Column>& columns) {
   std::vector<TableRow> rows;
   const TableRow values = row_of(entry, columns);
@@ -157,9 +157,10 @@
     return format_fields(root, listing.columns);
   }
   if (!root.is_object() || !root.contains(listing.entries) || !root[listing.entries].is_array()) {
-    return tl::unexpected(not_run(
-        ErrorKind::kInternal, "the node's answer holds no list of " + std::string(listing.entries),
-        "use a chalkshedctl of the same release as the node"));
+    return tl::unexpected(
+        not_run(ErrorKind::kInternal,
+                "the node's response contains no list of " + std::string(listing.entries),
+                "use a chalkshedctl of the same release as the node"));
   }
   std::vector<TableRow> rows;
   TableRow headings;
--- a/src/control/listings.h
+++ b/src/control/listings.h
@@ -1,4 +1,4 @@
-// Tables made of the nodes' JSON answers.
+// Formats the nodes' JSON responses as tables.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace chalkshed {
 
-// @return the answer of a listing command as a table. Errors: kInternal when the answer is not what
-// this release expects.
+// @return the response to a listing command as a table. Errors: kInternal when the response does
+// not have the format of this release.
 Expected<std::string> format_listing(CommandKind kind, std::string_view answer);
 
 }  // namespace chalkshed
--- a/src/control/node_caller.cc
+++ b/src/control/node_caller.cc
@@ -7,18 +7,18 @@
 namespace chalkshed {
 namespace {
 
-constexpr Duration kAnswerTimeout = std::chrono::seconds(60);
-constexpr int kFirstErrorStatus = 400;
+constexpr Duration kResponseTimeout = std::chrono::seconds(60);
+constexpr int kMinErrorStatus = 400;
 
 }  // namespace
 
-Expected<HttpResponse> HttpNodeCaller::call(const HttpRequest& order) {
-  HttpRequest request = order;
+Expected<HttpResponse> HttpNodeCaller::call(const HttpRequest& original) {
+  HttpRequest request = original;
   if (!key_.empty()) {
     request.headers.push_back({"Authorization", "Bearer " + key_});
   }
   Expected<HttpResponse> result = tl::unexpected(
-      not_run(ErrorKind::kUnavailable, "no node was named", "name one with --node=ip:port"));
+      not_run(ErrorKind::kUnavailable, "no node was given", "give one with --node=ip:port"));
   std::string tried;
   for (const Address& node : nodes_) {
     result = call_node(node, request);
@@ -27,9 +27,9 @@
     }
     tried += (tried.empty() ? "" : ", ") + to_string(node);
   }
-  result.error().message = "no node answers at " + tried + ": " + result.error().message;
+  result.error().message = "no node responds at " + tried + ": " + result.error().message;
   result.error().remedy =
-      "check the address and that chalkshedd runs there, or name another node "
+      "check the address and that chalkshedd runs there, or give another node "
       "with --node=ip:port or $CHALKSHED_NODE";
   return result;
 }
@@ -37,7 +37,7 @@
 Expected<HttpResponse> HttpNodeCaller::call_node(const Address& node, const HttpRequest& request) {
   HttpCallOptions options;
   options.fresh_connection = true;
-  options.idle_timeout = kAnswerTimeout;
+  options.idle_timeout = kResponseTimeout;
   std::optional<Expected<HttpResponse>> answer;
   client_.fetch(node, request, options,
                 [&](Expected<HttpResponse> response) { answer = std::move(response); });
@@ -48,7 +48,7 @@
 }
 
 std::optional<Error> error_of(const HttpResponse& response) {
-  if (response.status < kFirstErrorStatus) {
+  if (response.status < kMinErrorStatus) {
     return std::nullopt;
   }
   return parse_error_response(response);
--- a/src/control/node_caller.h
+++ b/src/control/node_caller.h
@@ -1,4 +1,4 @@
-// Calls of the operators' tool to a node.
+// Sends requests of chalkshedctl to a node.
 #pragma once
 
 #include <string>
@@ -14,12 +14,12 @@
 class NodeCaller {
  public:
   virtual ~NodeCaller() = default;
-  // Waits for the answer. Errors: kUnavailable (Ran::kNo) when no node can be reached,
-  // kUpstreamFailed when the connection broke after the request was sent.
+  // Blocks until the response arrives. Errors: kUnavailable (Ran::kNo) when no node can be reached,
+  // kUpstreamFailed when the connection failed after the request was sent.
   virtual Expected<HttpResponse> call(const HttpRequest& request) = 0;
 };
 
-// Asks the first node that can be reached; a request that may have arrived is not sent again.
+// Calls the first reachable node. A request that may have been received is not sent again.
 class HttpNodeCaller : public NodeCaller {
  public:
   // @param key sent as a bearer token unless it is empty.
@@ -38,7 +38,7 @@
   const std::string key_;
 };
 
-// @return the error that a node's answer stands for; empty for statuses below 400.
+// @return the error in a node's response; empty for statuses below 400.
 std::optional<Error> error_of(const HttpResponse& response);
 
 }  // namespace chalkshed
--- a/src/control/operator_command.cc
+++ b/src/control/operator_command.cc
@@ -33,19 +33,20 @@
   chalkshedctl --help
 
 Options:
-  --node=<addresses>    ip:port of a node, or several separated by commas, asked in this order until
+  --node=<addresses>    ip:port of a node, or several separated by commas, tried in this order until
                         one can be reached. Default: $CHALKSHED_NODE, or 127.0.0.1:8080.
-  --key=<key>           The operators' key, [admin] key of the nodes' settings. Others see a flag in
-                        the list of processes; $CHALKSHED_KEY, which is the default, they do not.
-  --json                Print the node's JSON answer instead of a table.
+  --key=<key>           The operators' key, [admin] key of the nodes' settings. Flags are
+                        visible to other users in the process list; $CHALKSHED_KEY, the default, is
+                        not.
+  --json                Print the node's JSON response instead of a table.
   --wait                Wait until the change is complete, with a progress bar on a terminal.
-  --timeout=<seconds>   Longest wait of --wait [default: 60].
+  --timeout=<seconds>   Time limit of --wait [default: 60].
   --version=<n>         Version to show or to wait for; the newest unless given.
-  --secrets             Show API keys; otherwise (kept:<tenant>) stands for them, which keeps the
-                        key when it is applied.
+  --secrets             Show API keys; otherwise they are replaced by (kept:<tenant>), which keeps
+                        the key when it is applied.
   --base-version=<n>    Version that the text was edited from; the text's own `version` unless given.
-  --comment=<text>      Why; kept in the history.
-  --author=<name>       Who; kept in the history. Default: the user's name.
+  --comment=<text>      Reason for the change; stored in the history.
+  --author=<name>       Author of the change; stored in the history. Default: the user's name.
   --limit=<n>           Entries of the history [default: 20].
   --help                Show this text.
 
@@ -90,15 +91,15 @@
   return found != arguments.end() && found->second.isString() ? found->second.asString() : "";
 }
 
-CommandLine wrong(const std::string& problem) {
+CommandLine usage_error(const std::string& problem) {
   return {std::nullopt, "chalkshedctl: " + problem + "\n", ExitCode::kUsage};
 }
 
-std::optional<uint64_t> whole_number(const std::string& text) {
+std::optional<uint64_t> parse_integer(const std::string& text) {
   uint64_t number = 0;
   const char* const end = text.data() + text.size();
-  const auto [stop, code] = std::from_chars(text.data(), end, number);
-  return code == std::errc() && stop == end ? std::optional(number) : std::nullopt;
+  const auto [parsed_end, code] = std::from_chars(text.data(), end, number);
+  return code == std::errc() && parsed_end == end ? std::optional(number) : std::nullopt;
 }
 
 std::optional<Address> address_of(const std::string& text) {
@@ -106,7 +107,7 @@
   if (colon == std::string::npos || colon == 0) {
     return std::nullopt;
   }
-  const auto port = whole_number(text.substr(colon + 1));
+  const auto port = parse_integer(text.substr(colon + 1));
   if (!port || *port == 0 || *port > 65535) {
     return std::nullopt;
   }
@@ -123,16 +124,16 @@
   return std::nullopt;
 }
 
-// Reads a number option. @return a problem, if there is one.
+// Reads an integer option. @return the problem if it is invalid.
 std::optional<std::string> read_number(const Arguments& arguments, const std::string& option,
                                        std::optional<uint64_t>& target) {
   const std::string text = text_of(arguments, option);
   if (text.empty()) {
     return std::nullopt;
   }
-  target = whole_number(text);
+  target = parse_integer(text);
   if (!target) {
-    return option + " is \"" + text + "\"; write a whole number";
+    return option + " is \"" + text + "\"; write an integer";
   }
   return std::nullopt;
 }
@@ -158,14 +159,14 @@
     nodes = default_nodes.empty() ? kDefaultNode : default_nodes;
   }
   if (const auto problem = read_nodes(nodes, command.nodes)) {
-    return wrong(*problem);
+    return usage_error(*problem);
   }
   std::optional<uint64_t> seconds;
   for (const auto& [option, target] :
        {std::pair{"--version", &command.version}, std::pair{"--base-version", &command.version},
         std::pair{"--limit", &command.limit}, std::pair{"--timeout", &seconds}}) {
     if (const auto problem = read_number(arguments, option, *target)) {
-      return wrong(*problem);
+      return usage_error(*problem);
     }
   }
   command.wait_limit = std::chrono::seconds(seconds.value_or(60));
@@ -188,14 +189,15 @@
 
 }  // namespace
 
-CommandLine parse_command_line(const std::vector<std::string>& words,
+CommandLine parse_command_line(const std::vector<std::string>& arguments,
                                const std::string& default_nodes, const std::string& default_key) {
   try {
-    return command_of(docopt::docopt_parse(kUsage, words, true, false), default_nodes, default_key);
+    return command_of(docopt::docopt_parse(kUsage, arguments, true, false), default_nodes,
+                      default_key);
   } catch (const docopt::DocoptExitHelp&) {
     return {std::nullopt, kUsage, ExitCode::kSuccess};
   } catch (const docopt::DocoptArgumentError& failure) {
-    return wrong(std::string(failure.what()) + "\nTry chalkshedctl --help");
+    return usage_error(std::string(failure.what()) + "\nTry chalkshedctl --help");
   }
 }
 
--- a/src/control/progress_bar.h
+++ b/src/control/progress_bar.h
@@ -1,4 +1,4 @@
-// A progress bar, redrawn in place.
+// A progress bar that is redrawn in place.
 #pragma once
 
 #include <cstdint>
@@ -8,22 +8,23 @@
 
 namespace chalkshed {
 
-// Draws nothing unless the terminal is interactive; scripts see a clean output.
+// Draws nothing unless the terminal is interactive, so that the output of scripts stays clean.
 class ProgressBar {
  public:
-  ProgressBar(Terminal& terminal, std::string what) : terminal_(terminal), what_(std::move(what)) {}
+  ProgressBar(Terminal& terminal, std::string label)
+      : terminal_(terminal), label_(std::move(label)) {}
   // Ends the line.
   ~ProgressBar();
   ProgressBar(const ProgressBar&) = delete;
   ProgressBar& operator=(const ProgressBar&) = delete;
 
-  // @param note shown behind the bar, e.g. who lags.
+  // @param note shown after the bar, e.g. a lagging node.
   void show(uint64_t done, uint64_t total, const std::string& note);
 
  private:
   Terminal& terminal_;
-  const std::string what_;
-  size_t drawn_ = 0;  // length of the line as it stands
+  const std::string label_;
+  size_t drawn_length_ = 0;  // length of the line as currently drawn
 };
 
 }  // namespace chalkshed
--- a/src/control/terminal.h
+++ b/src/control/terminal.h
@@ -1,4 +1,4 @@
-// What the operators' tool prints on, and how it waits.
+// Terminal of chalkshedctl: its output streams and how it waits.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 struct Terminal {
   std::ostream& output;
   std::ostream& messages;    // errors and progress
-  bool interactive = false;  // messages go to a terminal that can draw a progress bar
+  bool interactive = false;  // messages are written to a terminal that can draw a progress bar
   std::function<void(Duration)> pause;
   const TimeSource& time_source;
 };
--- a/src/control/text_table.cc
+++ b/src/control/text_table.cc
@@ -7,8 +7,8 @@
 
 constexpr size_t kColumnGap = 2;
 
-// Counts characters, not bytes: continuation bytes of UTF-8 take no room.
-size_t width_of(const std::string& text) {
+// Counts characters, not bytes: UTF-8 continuation bytes have no width.
+size_t display_width(const std::string& text) {
   return static_cast<size_t>(std::count_if(text.begin(), text.end(), [](char character) {
     return (static_cast<unsigned char>(character) & 0xC0U) != 0x80U;
   }));
@@ -19,7 +19,7 @@
   for (size_t column = 0; column < row.size(); ++column) {
     line += row[column];
     if (column + 1 < row.size()) {
-      line.append(widths[column] - width_of(row[column]) + kColumnGap, ' ');
+      line.append(widths[column] - display_width(row[column]) + kColumnGap, ' ');
     }
   }
   return line + "\n";
@@ -30,9 +30,9 @@
 std::string format_table(const TableRow& headings, const std::vector<TableRow>& rows) {
   std::vector<size_t> widths;
   for (size_t column = 0; column < headings.size(); ++column) {
-    size_t width = width_of(headings[column]);
+    size_t width = display_width(headings[column]);
     for (const TableRow& row : rows) {
-      width = std::max(width, width_of(row[column]));
+      width = std::max(width, display_width(row[column]));
     }
     widths.push_back(width);
   }
--- a/tests/control/command_runner_test.cc
+++ b/tests/control/command_runner_test.cc
@@ -27,7 +27,7 @@
   std::optional<HttpResponse>& target_;
 };
 
-// Calls the API of a node of the cluster; canned answers stand for other roles' paths.
+// Calls the configuration API of a node of the cluster. Paths of other roles get canned responses.
 class ClusterCaller : public NodeCaller {
  public:
   explicit ClusterCaller(ConfigurationCluster& cluster)
@@ -39,7 +39,8 @@
     if (unreachable) {
       return tl::unexpected(not_run(ErrorKind::kUnavailable, "no node answers", "start one"));
     }
-    if (const auto canned = canned_.find(requests.back()); canned != canned_.end()) {
+    if (const auto canned = canned_responses_.find(requests.back());
+        canned != canned_responses_.end()) {
       HttpResponse response;
       response.body = canned->second.front();
       if (canned->second.size() > 1) {
@@ -55,7 +56,7 @@
     return response.value();
   }
   void answer(const std::string& request, std::deque<std::string> bodies) {
-    canned_[request] = std::move(bodies);
+    canned_responses_[request] = std::move(bodies);
   }
 
   bool unreachable = false;
@@ -64,7 +65,7 @@
  private:
   ConfigurationCluster& cluster_;
   ConfigurationApi api_;
-  std::map<std::string, std::deque<std::string>> canned_;
+  std::map<std::string, std::deque<std::string>> canned_responses_;
 };
 
 class CommandRunnerTest : public testing::Test {
@@ -82,10 +83,10 @@
     std::ofstream(folder_ + "/" + name) << text;
   }
 
-  ExitCode run(const std::vector<std::string>& words) {
+  ExitCode run(const std::vector<std::string>& arguments) {
     output_.str("");
     messages_.str("");
-    const CommandLine line = parse_command_line(words, "");
+    const CommandLine line = parse_command_line(arguments, "");
     if (!line.command) {
       messages_ << line.text;
       return line.exit_code;
@@ -118,7 +119,7 @@
   write("tenants.toml", "[tenants.alpha]\napi_key = \"k\"\n");
   write("policies/rush.lua", "function decide(r) return { urgency = 'urgent' } end");
   EXPECT_EQ(run({"configuration", "check", folder_}), ExitCode::kSuccess);
-  EXPECT_TRUE(printed("valid; 1 policy samples hold"));
+  EXPECT_TRUE(printed("valid; 1 policy samples passed"));
   EXPECT_EQ(run({"configuration", "apply", folder_, "--wait", "--comment=first"}),
             ExitCode::kSuccess)
       << messages_.str();
@@ -142,7 +143,7 @@
   write("a.toml", output_.str() + "[tenants.beta]\napi_key = \"b\"\n");
   EXPECT_EQ(run({"configuration", "apply", folder_}), ExitCode::kSuccess) << messages_.str();
   EXPECT_EQ(run({"configuration", "apply", folder_}), ExitCode::kSuccess);
-  EXPECT_TRUE(printed("version 2 is in force already; nothing to change"));
+  EXPECT_TRUE(printed("version 2 is already in force; nothing to change"));
   write("a.toml", std::string("version = 1\n") + kFirstText);
   EXPECT_EQ(run({"configuration", "apply", folder_}), ExitCode::kConflict);
   EXPECT_TRUE(warned("[tenants.beta]\n+api_key")) << messages_.str();
@@ -154,7 +155,7 @@
   EXPECT_TRUE(warned("a.toml:3: services.chat.model is not a known field")) << messages_.str();
   write("a.toml", "[policies.p]\nfile = \"../secret.lua\"\n");
   EXPECT_EQ(run({"configuration", "check", folder_}), ExitCode::kUsage);
-  EXPECT_TRUE(warned("does not lie beside or below")) << messages_.str();
+  EXPECT_TRUE(warned("is not in or below the folder of the document")) << messages_.str();
   EXPECT_EQ(run({"configuration", "check", folder_ + "/none.toml"}), ExitCode::kUsage);
 }
 
@@ -172,7 +173,7 @@
   EXPECT_EQ(run({"configuration", "status", "--wait", "--version=9", "--timeout=3"}),
             ExitCode::kTimedOut);
   EXPECT_TRUE(warned("not complete after 3 s")) << messages_.str();
-  EXPECT_TRUE(printed("node-1")) << "the last status shows who lags";
+  EXPECT_TRUE(printed("node-1")) << "the last status shows the lagging nodes";
 }
 
 TEST_F(CommandRunnerTest, DrainWaitsForTheLastSequenceWithABar) {
--- a/tests/control/examples_test.cc
+++ b/tests/control/examples_test.cc
@@ -1,5 +1,5 @@
-// The example deployments stay valid: their settings load, their policies pass their samples, and
-// they have the sizes of the users they stand for.
+// Checks that the example deployments are valid: their settings load, their policies pass their
+// samples, and their fleets have the sizes of the deployments they represent.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -13,7 +13,7 @@
 namespace chalkshed {
 namespace {
 
-// The tests run in the build folder or below the sources.
+// The tests run in the build folder or in a folder below the sources.
 std::string examples_folder() {
   std::filesystem::path folder = std::filesystem::current_path();
   while (!std::filesystem::exists(folder / "examples") && folder.has_relative_path()) {
