--- a/src/configuration/configuration_api.cc
+++ b/src/configuration/configuration_api.cc
@@ -14,8 +14,8 @@
 
 using nlohmann::json;
 
-constexpr uint32_t kUsualHistoryLength = 20;
-constexpr uint32_t kLongestHistory = 1000;
+constexpr uint32_t kDefaultHistoryLength = 20;
+constexpr uint32_t kMaxHistoryLength = 1000;
 
 HttpResponse json_response(int status, const json& body) {
   return {status,
@@ -28,7 +28,7 @@
   const Error error =
       not_run(ErrorKind::kConflict,
               "version " + version + " is in force, which is not the base of this text",
-              "look at the difference, carry your change over to version " + version +
+              "review the difference, merge your change into version " + version +
                   " and apply it with that base version");
   json body = json::parse(error_body(error));
   body["current_version"] = outcome.version;
@@ -73,10 +73,10 @@
           {"members", std::move(members)}};
 }
 
-// How a configuration is to be shown.
+// Output options for a configuration.
 struct ShowOptions {
-  bool plain = false;    // the text alone, not in JSON
-  bool secrets = false;  // with API keys
+  bool plain = false;    // plain TOML text instead of JSON
+  bool secrets = false;  // include API keys
 };
 
 HttpResponse configuration_response(const ConfigurationPtr& configuration,
@@ -90,19 +90,19 @@
 }
 
 Error no_configuration_yet() {
-  return not_run(ErrorKind::kUnavailable, "this node has not learned the configuration yet",
-                 "ask again in a few seconds, or ask another node");
+  return not_run(ErrorKind::kUnavailable, "this node has not loaded the configuration yet",
+                 "retry in a few seconds, or use another node");
 }
 
 }  // namespace
 
-// An answer that may come later, when the caller may be gone.
-class ConfigurationApi::Answer {
+// An asynchronous response whose caller may have disconnected.
+class ConfigurationApi::PendingResponse {
  public:
   static SharedWriter create(ResponseWriterPtr writer) {
-    auto answer = std::make_shared<Answer>();
+    auto answer = std::make_shared<PendingResponse>();
     answer->writer_ = std::move(writer);
-    answer->writer_->set_on_closed([weak = std::weak_ptr<Answer>(answer)] {
+    answer->writer_->set_on_closed([weak = std::weak_ptr<PendingResponse>(answer)] {
       if (const SharedWriter closed = weak.lock()) {
         closed->closed_ = true;
       }
@@ -126,7 +126,7 @@
     : manager_(manager), status_(manager, dependencies, members) {}
 
 void ConfigurationApi::handle(HttpRequest request, ResponseWriterPtr writer) {
-  const SharedWriter answer = Answer::create(std::move(writer));
+  const SharedWriter answer = PendingResponse::create(std::move(writer));
   const std::string operation = request.method + " " + request.path;
   if (operation == "GET /admin/configuration") {
     show(request, answer);
@@ -176,7 +176,7 @@
     return;
   }
   const auto length = static_cast<uint32_t>(
-      std::clamp<uint64_t>(limit->value_or(kUsualHistoryLength), 1, kLongestHistory));
+      std::clamp<uint64_t>(limit->value_or(kDefaultHistoryLength), 1, kMaxHistoryLength));
   manager_.history(length, [writer](const Expected<std::vector<ConfigurationHead>>& heads) {
     if (!heads) {
       writer->respond(error_response(heads.error()));
--- a/src/configuration/configuration_api.h
+++ b/src/configuration/configuration_api.h
@@ -22,8 +22,8 @@
   void handle(HttpRequest request, ResponseWriterPtr writer) override;
 
  private:
-  class Answer;
-  using SharedWriter = std::shared_ptr<Answer>;
+  class PendingResponse;
+  using SharedWriter = std::shared_ptr<PendingResponse>;
 
   void show(const HttpRequest& request, const SharedWriter& writer);
   void show_history(const HttpRequest& request, const SharedWriter& writer);
--- a/src/configuration/configuration_content.cc
+++ b/src/configuration/configuration_content.cc
@@ -12,13 +12,13 @@
 
 constexpr std::string_view kObjectPrefix = "configuration/";
 
-Error unreadable(const std::string& what) {
+Error damaged_content(const std::string& what) {
   return not_run(ErrorKind::kInternal, what,
                  "apply the configuration again; its stored content is damaged or incomplete");
 }
 
 Error missing_block(const std::string& name, const std::string& digest) {
-  return unreadable("block " + digest + " (" + name + ") is not here");
+  return damaged_content("block " + digest + " (" + name + ") is missing");
 }
 
 std::string bucket_name(const std::string& tenant, uint32_t tenant_buckets) {
@@ -48,7 +48,7 @@
     return manifest;
   } catch (const nlohmann::json::exception& failure) {
     return tl::unexpected(
-        unreadable("a configuration manifest cannot be read: " + std::string(failure.what())));
+        damaged_content("a configuration manifest cannot be read: " + std::string(failure.what())));
   }
 }
 
@@ -140,7 +140,7 @@
   }
   auto sections = parse_configuration_fragment({"block " + digest, content});
   if (!sections) {
-    return tl::unexpected(unreadable(sections.error().message));
+    return tl::unexpected(damaged_content(sections.error().message));
   }
   blocks_.emplace(digest, Block{content, *std::move(sections)});
   return digest;
@@ -191,7 +191,8 @@
   }
   const ConfigurationManifest* manifest = find_manifest(head.manifest_digest);
   if (manifest == nullptr) {
-    return tl::unexpected(unreadable("manifest " + head.manifest_digest + " is not here"));
+    return tl::unexpected(
+        damaged_content("manifest " + head.manifest_digest + " is not cached on this node"));
   }
   for (const auto& [name, digest] : manifest->digests) {
     const auto block = blocks_.find(digest);
--- a/src/configuration/configuration_difference.cc
+++ b/src/configuration/configuration_difference.cc
@@ -6,7 +6,7 @@
 namespace chalkshed {
 namespace {
 
-constexpr size_t kLongestDifferenceLines = 400;
+constexpr size_t kMaxDifferenceLines = 400;
 
 std::vector<std::string> lines_of(const std::string& text) {
   std::vector<std::string> lines;
@@ -17,7 +17,7 @@
   return lines;
 }
 
-// A stretch of canonical text under one heading; "" holds what precedes the first heading.
+// Lines of canonical text by section heading; "" contains the lines before the first heading.
 using Sections = std::map<std::string, std::vector<std::string>>;
 
 Sections sections_of(const std::string& text) {
@@ -33,7 +33,7 @@
   return sections;
 }
 
-// Lengths of the longest common subsequences of the lines' tails.
+// Lengths of the longest common subsequences of all pairs of suffixes.
 std::vector<std::vector<uint32_t>> common_lengths(const std::vector<std::string>& before,
                                                   const std::vector<std::string>& after) {
   std::vector lengths(before.size() + 1, std::vector<uint32_t>(after.size() + 1, 0));
@@ -94,7 +94,7 @@
     }
     text += heading.empty() ? "" : heading + "\n";
     for (const std::string& line : difference) {
-      if (++printed > kLongestDifferenceLines) {
+      if (++printed > kMaxDifferenceLines) {
         return text + "... and more\n";
       }
       text += line + "\n";
--- a/src/configuration/configuration_fetcher.cc
+++ b/src/configuration/configuration_fetcher.cc
@@ -8,10 +8,10 @@
 namespace chalkshed {
 namespace {
 
-Error not_found_anywhere(const std::string& what) {
+Error content_unavailable(const std::string& what) {
   return not_run(ErrorKind::kStoreUnavailable,
-                 what + " was given neither by peers nor by the store",
-                 "wait until the object store or a peer answers; the node tries again by itself");
+                 what + " was provided neither by peers nor by the store",
+                 "wait until the object store or a peer responds; the node retries automatically");
 }
 
 }  // namespace
@@ -24,10 +24,10 @@
       cache_(cache),
       knobs_(knobs),
       peer_fetches_(dependencies.metrics.counter("chalkshed_configuration_fetches_total",
-                                                 "Configuration content asked for, by source.",
+                                                 "Configuration content requested, by source.",
                                                  {{"source", "peer"}})),
       store_fetches_(dependencies.metrics.counter("chalkshed_configuration_fetches_total",
-                                                  "Configuration content asked for, by source.",
+                                                  "Configuration content requested, by source.",
                                                   {{"source", "object_store"}})),
       timeout_(dependencies.dispatcher.create_timer([this] { next_peer(); })) {}
 
@@ -60,7 +60,8 @@
     peers_.push_back(candidates[index]);
     candidates.erase(candidates.begin() + static_cast<std::ptrdiff_t>(index));
   }
-  // The node that accepted the version has it for certain, but it cannot serve all at once.
+  // The node that accepted the version is certain to have it, but is tried last because it cannot
+  // serve all nodes at once.
   if (origin) {
     peers_.push_back(*origin);
   }
@@ -72,7 +73,7 @@
     if (peers_.empty()) {
       read_manifest_object();
     } else {
-      ask_peer_for_manifest();
+      request_manifest();
     }
     return;
   }
@@ -82,33 +83,34 @@
   } else if (peers_.empty()) {
     read_block_objects(missing);
   } else {
-    ask_peer_for_blocks(missing);
+    request_blocks(missing);
   }
 }
 
-void ConfigurationFetcher::call_peer(const char* method, std::string body,
-                                     std::function<void(const Expected<std::string>&)> take) {
+void ConfigurationFetcher::call_peer(
+    const char* method, std::string body,
+    std::function<void(const Expected<std::string>&)> on_response) {
   peer_fetches_.add(1);
   const uint64_t step = ++step_;
   timeout_->enable(knobs_.fetch_peer_timeout);
-  dependencies_.peer_client.call(
-      peers_.front(), method, std::move(body),
-      lifetime_.guard([this, step, take = std::move(take)](const Expected<std::string>& answer) {
-        if (step == step_) {
-          timeout_->disable();
-          take(answer);
-        }
-      }));
+  dependencies_.peer_client.call(peers_.front(), method, std::move(body),
+                                 lifetime_.guard([this, step, on_response = std::move(on_response)](
+                                                     const Expected<std::string>& answer) {
+                                   if (step == step_) {
+                                     timeout_->disable();
+                                     on_response(answer);
+                                   }
+                                 }));
 }
 
-void ConfigurationFetcher::ask_peer_for_manifest() {
+void ConfigurationFetcher::request_manifest() {
   const bool known = cache_.find_manifest(known_manifest_) != nullptr;
   const ManifestRequest request{head_.manifest_digest, known ? known_manifest_ : ""};
   call_peer(kConfigurationManifestMethod, encode(request),
-            [this](const Expected<std::string>& body) { take_manifest(body); });
+            [this](const Expected<std::string>& body) { on_manifest_reply(body); });
 }
 
-void ConfigurationFetcher::take_manifest(const Expected<std::string>& body) {
+void ConfigurationFetcher::on_manifest_reply(const Expected<std::string>& body) {
   if (!body) {
     next_peer();
     return;
@@ -135,12 +137,12 @@
   advance();
 }
 
-void ConfigurationFetcher::ask_peer_for_blocks(const std::vector<std::string>& missing) {
+void ConfigurationFetcher::request_blocks(const std::vector<std::string>& missing) {
   call_peer(kConfigurationBlockMethod, encode(BlockRequest{missing}),
-            [this](const Expected<std::string>& body) { take_blocks(body); });
+            [this](const Expected<std::string>& body) { on_block_reply(body); });
 }
 
-void ConfigurationFetcher::take_blocks(const Expected<std::string>& body) {
+void ConfigurationFetcher::on_block_reply(const Expected<std::string>& body) {
   const auto reply = body ? decode_block_reply(*body) : Expected<BlockReply>(BlockReply{});
   const bool useful = reply && !reply->blocks.empty();
   if (useful) {
@@ -168,7 +170,7 @@
       lifetime_.guard([this](const Expected<std::shared_ptr<const std::string>>& content) {
         auto manifest = content ? decode_manifest(**content) : tl::unexpected(content.error());
         if (!manifest || cache_.add_manifest(*std::move(manifest)) != head_.manifest_digest) {
-          finish(tl::unexpected(not_found_anywhere("manifest " + head_.manifest_digest)));
+          finish(tl::unexpected(content_unavailable("manifest " + head_.manifest_digest)));
         } else {
           advance();
         }
@@ -185,17 +187,17 @@
         block_object_name(digest),
         lifetime_.guard(
             [this, digest](const Expected<std::shared_ptr<const std::string>>& content) {
-              take_block_object(digest, content);
+              on_block_object(digest, content);
             }));
   }
 }
 
-void ConfigurationFetcher::take_block_object(
+void ConfigurationFetcher::on_block_object(
     const std::string& digest, const Expected<std::shared_ptr<const std::string>>& content) {
   const auto added = content ? cache_.add_block(**content)
                              : Expected<std::string>(tl::unexpected(content.error()));
   if (!added || *added != digest) {
-    object_error_ = not_found_anywhere("block " + digest);
+    object_error_ = content_unavailable("block " + digest);
   }
   if (--pending_objects_ > 0) {
     return;
--- a/src/configuration/configuration_fetcher.h
+++ b/src/configuration/configuration_fetcher.h
@@ -1,4 +1,4 @@
-// Fetches the manifest and the blocks of a version: from peers first, then from the object store.
+// Fetches the manifest and the blocks of a version, first from peers, then from the object store.
 #pragma once
 
 #include <deque>
@@ -21,9 +21,10 @@
   ConfigurationFetcher(NodeDependencies& dependencies, MembershipView& members,
                        ConfigurationCache& cache, const ConfigurationKnobs& knobs);
 
-  // Brings the head's manifest and all its blocks into the cache. One fetch at a time.
-  // @param known_manifest digest of a manifest in the cache that peers may refer to; may be empty.
-  // Errors: kStoreUnavailable when neither peers nor the store gave the content.
+  // Loads the head's manifest and all its blocks into the cache. Only one fetch may run at a time.
+  // @param known_manifest digest of a cached manifest that replies of peers may be based on; may be
+  // empty.
+  // Errors: kStoreUnavailable when neither peers nor the store provided the content.
   void fetch(const ConfigurationHead& head, const std::string& known_manifest,
              Callback<std::monostate> callback);
 
@@ -32,19 +33,19 @@
  private:
   void choose_peers();
   void advance();
-  void ask_peer_for_manifest();
-  void take_manifest(const Expected<std::string>& body);
-  void ask_peer_for_blocks(const std::vector<std::string>& missing);
-  void take_blocks(const Expected<std::string>& body);
+  void request_manifest();
+  void on_manifest_reply(const Expected<std::string>& body);
+  void request_blocks(const std::vector<std::string>& missing);
+  void on_block_reply(const Expected<std::string>& body);
   void read_manifest_object();
   void read_block_objects(const std::vector<std::string>& missing);
-  void take_block_object(const std::string& digest,
-                         const Expected<std::shared_ptr<const std::string>>& content);
+  void on_block_object(const std::string& digest,
+                       const Expected<std::shared_ptr<const std::string>>& content);
   void next_peer();
   void finish(Expected<std::monostate> result);
-  // Calls the first peer in line; `take` gets its answer unless a newer step has begun.
+  // Calls the next peer. `on_response` gets its response unless a newer step has begun.
   void call_peer(const char* method, std::string body,
-                 std::function<void(const Expected<std::string>&)> take);
+                 std::function<void(const Expected<std::string>&)> on_response);
 
   NodeDependencies& dependencies_;
   MembershipView& members_;
@@ -57,7 +58,7 @@
   std::string known_manifest_;
   Callback<std::monostate> callback_;
   std::deque<Address> peers_;
-  uint64_t step_ = 0;  // answers to earlier steps are ignored
+  uint64_t step_ = 0;  // responses to earlier steps are ignored
   size_t pending_objects_ = 0;
   std::optional<Error> object_error_;
   TimerPtr timeout_;
--- a/src/configuration/configuration_format.cc
+++ b/src/configuration/configuration_format.cc
@@ -1,4 +1,4 @@
-// The canonical text of configurations.
+// Canonical text form of configurations.
 #include <sstream>
 
 #include "src/configuration/configuration_text.h"
@@ -40,7 +40,7 @@
   return heading("tenants", tenant.name) + fields.lines();
 }
 
-// Only what differs from the defaults: samples are read by people.
+// Only fields that differ from the defaults, to keep samples readable.
 TomlFields request_fields(const RequestAttributes& request) {
   TomlFields fields;
   const auto add_text = [&fields](std::string_view key, const std::string& value) {
--- a/src/configuration/configuration_head.cc
+++ b/src/configuration/configuration_head.cc
@@ -28,7 +28,7 @@
   } catch (const nlohmann::json::exception& failure) {
     return tl::unexpected(not_run(
         ErrorKind::kInternal, "a configuration head cannot be read: " + std::string(failure.what()),
-        "look at the rows of the table \"configuration\"; another program may write there"));
+        "inspect the rows of the table \"configuration\"; another program may have written there"));
   }
 }
 
--- a/src/configuration/configuration_head.h
+++ b/src/configuration/configuration_head.h
@@ -1,4 +1,4 @@
-// The head of the configuration: which version is in force, and the digest of its manifest.
+// The head of the configuration: the active version and the digest of its manifest.
 #pragma once
 
 #include <optional>
@@ -14,15 +14,15 @@
 inline constexpr std::string_view kConfigurationHeadKey = "head";
 inline constexpr std::string_view kConfigurationHeadGossipKind = "configuration_head";
 
-// Content of the head row, of the rows of the history, and of the gossip about them.
+// Content of the head row, of the history rows, and of head gossip.
 struct ConfigurationHead {
   ConfigurationVersion version = 0;
   std::string manifest_digest;
-  std::string attempt;      // names the attempt that wrote it
-  std::string origin;       // node that accepted it
-  std::string author;       // who applied it, as the operator's client said
-  std::string comment;      // why, as the operator said
-  int64_t accepted_at = 0;  // wall clock, microseconds since 1970; only for people
+  std::string attempt;      // id of the apply attempt that wrote it
+  std::string origin;       // node that accepted the version
+  std::string author;       // as given by the operator's client
+  std::string comment;      // as given by the operator
+  int64_t accepted_at = 0;  // wall clock, microseconds since 1970; also used by retention
 
   bool operator==(const ConfigurationHead&) const = default;
 };
@@ -30,10 +30,10 @@
 // @return the head as one JSON object.
 std::string encode_head(const ConfigurationHead& head);
 
-// Errors: kInternal when the text is not a head.
+// Errors: kInternal when the text is not a valid head.
 Expected<ConfigurationHead> decode_head(std::string_view text);
 
-// @return the key of a version's row of the history; keys sort by version.
+// @return the key of a version's history row; keys sort by version.
 std::string history_key(ConfigurationVersion version);
 
 }  // namespace chalkshed
--- a/src/configuration/configuration_head_tracker.cc
+++ b/src/configuration/configuration_head_tracker.cc
@@ -19,7 +19,7 @@
       last_contact_(dependencies.time_source.monotonic_now()),
       confirmed_at_(last_contact_),
       round_timer_(dependencies.dispatcher.create_timer(
-          [this] { pending_answers_ > 0 ? end_round() : begin_round(); })),
+          [this] { pending_responses_ > 0 ? end_round() : begin_round(); })),
       exchange_timer_(dependencies.dispatcher.create_timer([this] { exchange_with_peer(); })),
       poll_timer_(dependencies.dispatcher.create_timer([this] { poll_store(); })) {}
 
@@ -28,14 +28,14 @@
       kConfigurationHeadMethod,
       lifetime_.guard([this](const std::string& body, const PeerServer::Reply& reply) {
         if (const auto report = decode_head_report(body)) {
-          take_report(*report, now());
+          on_report(*report, now());
         }
         reply(encode(report_()));
       }));
   gossip_.subscribe(std::string(kConfigurationHeadGossipKind),
                     lifetime_.guard([this](const GossipEntry& entry) {
                       if (const auto head = decode_head(entry.value)) {
-                        hear(*head);
+                        observe_head(*head);
                       }
                     }));
   exchange_timer_->enable(jittered(knobs_.exchange_interval));
@@ -47,58 +47,58 @@
   begin_round();
 }
 
-// ---- Learning at the start.
+// ---- Learning at start.
 
 void ConfigurationHeadTracker::begin_round() {
   const uint64_t round = ++round_;
   std::vector<Member> peers = other_members();
-  const size_t asked = std::min<size_t>(peers.size(), knobs_.learn_peer_count);
-  pending_answers_ = static_cast<uint32_t>(asked) + 1;
-  authority_answered_ = false;
+  const size_t queried = std::min<size_t>(peers.size(), knobs_.learn_peer_count);
+  pending_responses_ = static_cast<uint32_t>(queried) + 1;
+  authority_responded_ = false;
   round_timer_->enable(knobs_.learn_timeout);
-  ask_store(round);
-  for (size_t count = 0; count < asked; ++count) {
+  query_store(round);
+  for (size_t count = 0; count < queried; ++count) {
     const size_t index = dependencies_.random.below(peers.size());
-    ask_peer(peers[index].http_address, round);
+    query_peer(peers[index].http_address, round);
     peers.erase(peers.begin() + static_cast<std::ptrdiff_t>(index));
   }
 }
 
-void ConfigurationHeadTracker::ask_store(uint64_t round) {
-  read_head_row([this, round](bool answered) { round_answer(round, answered); });
+void ConfigurationHeadTracker::query_store(uint64_t round) {
+  read_head_row([this, round](bool answered) { on_round_response(round, answered); });
 }
 
-void ConfigurationHeadTracker::ask_peer(const Address& peer, uint64_t round) {
+void ConfigurationHeadTracker::query_peer(const Address& peer, uint64_t round) {
   dependencies_.peer_client.call(
       peer, kConfigurationHeadMethod, encode(report_()),
-      lifetime_.guard([this, round, asked_at = now()](const Expected<std::string>& body) {
+      lifetime_.guard([this, round, sent_at = now()](const Expected<std::string>& body) {
         const auto report = body ? decode_head_report(*body) : tl::unexpected(body.error());
         if (report) {
-          take_report(*report, asked_at);
+          on_report(*report, sent_at);
         }
-        // A peer that is itself still learning knows nothing for certain.
-        round_answer(round, report && report->learned);
+        // A peer that is still learning is not authoritative.
+        on_round_response(round, report && report->learned);
       }));
 }
 
-void ConfigurationHeadTracker::round_answer(uint64_t round, bool authoritative) {
-  if (round != round_ || learned_ || pending_answers_ == 0) {
+void ConfigurationHeadTracker::on_round_response(uint64_t round, bool authoritative) {
+  if (round != round_ || learned_ || pending_responses_ == 0) {
     return;
   }
-  authority_answered_ = authority_answered_ || authoritative;
-  if (--pending_answers_ == 0) {
+  authority_responded_ = authority_responded_ || authoritative;
+  if (--pending_responses_ == 0) {
     end_round();
   }
 }
 
 void ConfigurationHeadTracker::end_round() {
-  pending_answers_ = 0;
+  pending_responses_ = 0;
   if (learned_) {
     return;
   }
-  if (!authority_answered_) {
+  if (!authority_responded_) {
     dependencies_.logger.write(LogLevel::kWarning, "configuration_not_learned",
-                               {{"reason", "neither the store nor a serving peer answered"}});
+                               {{"reason", "neither the store nor a serving peer responded"}});
     round_timer_->enable(jittered(knobs_.learn_retry));
     return;
   }
@@ -107,31 +107,31 @@
   on_change_();
 }
 
-// ---- Heads as they come in.
+// ---- Incoming heads.
 
-void ConfigurationHeadTracker::hear(const ConfigurationHead& head) {
+void ConfigurationHeadTracker::observe_head(const ConfigurationHead& head) {
   const bool newer = head.version > known_.version;
   const bool different = head.version != known_.version && head.version > 0;
   if (!newer && (knobs_.safeguards.versions_only_upwards || !different)) {
     return;
   }
   known_ = head;
-  ConfigurationHead rumour = head;
-  rumour.author.clear();
-  rumour.comment.clear();
+  ConfigurationHead gossiped_head = head;
+  gossiped_head.author.clear();
+  gossiped_head.comment.clear();
   gossip_.publish(GossipEntry{std::string(kConfigurationHeadGossipKind), "head", head.version,
-                              encode_head(rumour)});
+                              encode_head(gossiped_head)});
   on_change_();
 }
 
-void ConfigurationHeadTracker::take_head_row(const Expected<std::optional<Row>>& row,
-                                             MonotonicTime asked_at) {
+void ConfigurationHeadTracker::on_head_row(const Expected<std::optional<Row>>& row,
+                                           MonotonicTime sent_at) {
   if (!row) {
     return;
   }
   last_contact_ = now();
   if (!*row) {
-    confirm_at(asked_at);
+    confirm_at(sent_at);
     return;
   }
   const auto head = decode_head((*row)->value);
@@ -140,15 +140,15 @@
                                {{"message", head.error().message}});
     return;
   }
-  confirm_at(asked_at);
-  hear(*head);
+  confirm_at(sent_at);
+  observe_head(*head);
 }
 
-void ConfigurationHeadTracker::take_report(const HeadReport& report, MonotonicTime asked_at) {
+void ConfigurationHeadTracker::on_report(const HeadReport& report, MonotonicTime sent_at) {
   last_contact_ = now();
-  hear(report.head);
+  observe_head(report.head);
   if (report.learned) {
-    confirm_at(asked_at - report.confirmed_age);
+    confirm_at(sent_at - report.confirmed_age);
   }
 }
 
@@ -162,7 +162,7 @@
 
 Duration ConfigurationHeadTracker::confirmed_age() const { return now() - confirmed_at_; }
 
-// ---- Backstops.
+// ---- Periodic exchanges and polls.
 
 void ConfigurationHeadTracker::exchange_with_peer() {
   exchange_timer_->enable(jittered(knobs_.exchange_interval));
@@ -173,10 +173,10 @@
   const Member& peer = peers[dependencies_.random.below(peers.size())];
   dependencies_.peer_client.call(
       peer.http_address, kConfigurationHeadMethod, encode(report_()),
-      lifetime_.guard([this, asked_at = now()](const Expected<std::string>& body) {
+      lifetime_.guard([this, sent_at = now()](const Expected<std::string>& body) {
         const auto report = body ? decode_head_report(*body) : tl::unexpected(body.error());
         if (report) {
-          take_report(*report, asked_at);
+          on_report(*report, sent_at);
         }
       }));
 }
@@ -189,17 +189,17 @@
 void ConfigurationHeadTracker::read_head_row(std::function<void(bool answered)> done) {
   dependencies_.table_store.read(
       RowKey{std::string(kConfigurationTable), std::string(kConfigurationHeadKey)},
-      lifetime_.guard([this, asked_at = now(),
-                       done = std::move(done)](const Expected<std::optional<Row>>& row) {
-        take_head_row(row, asked_at);
-        done(row.has_value());
-      }));
+      lifetime_.guard(
+          [this, sent_at = now(), done = std::move(done)](const Expected<std::optional<Row>>& row) {
+            on_head_row(row, sent_at);
+            done(row.has_value());
+          }));
 }
 
 void ConfigurationHeadTracker::schedule_poll() {
   const size_t others = other_members().size();
   if (others == 0) {
-    // Alone, or cut off: only the store can tell.
+    // Without known peers only the store can provide newer heads.
     poll_timer_->enable(jittered(knobs_.cut_off_after / 3));
     return;
   }
--- a/src/configuration/configuration_head_tracker.h
+++ b/src/configuration/configuration_head_tracker.h
@@ -1,5 +1,5 @@
-// Learns which head is the highest: at start from store and peers, later by gossip, by exchanges
-// with random peers and by slow reads of the store.
+// Tracks the highest known head: learned at start from the store and peers, later updated by
+// gossip, by exchanges with random peers and by infrequent polls of the store.
 #pragma once
 
 #include <functional>
@@ -17,35 +17,35 @@
 
 class ConfigurationHeadTracker {
  public:
-  // @param report what this node tells peers about itself.
-  // @param on_change called after the known head rose or learning ended.
+  // @param report the report that this node sends to peers.
+  // @param on_change called after the known head has advanced or learning has completed.
   ConfigurationHeadTracker(NodeDependencies& dependencies, MembershipView& members, Gossip& gossip,
                            const ConfigurationKnobs& knobs, std::function<HeadReport()> report,
                            std::function<void()> on_change);
 
   void start();
 
-  // Takes note of a head, wherever it comes from. Lower ones than the known are ignored.
-  void hear(const ConfigurationHead& head);
-  // The store confirmed that the known head is the highest.
+  // Processes a head from any source. Heads lower than the known one are ignored.
+  void observe_head(const ConfigurationHead& head);
+  // Called when the store has confirmed that the known head is the highest.
   void confirm() { confirm_at(now()); }
 
   const ConfigurationHead& known() const { return known_; }
-  // The highest version that store or peers knew at the start has been found out.
+  // Whether the highest version that the store or peers knew at start has been determined.
   bool learned() const { return learned_; }
-  // Neither peers nor the store answered for long.
+  // Whether neither peers nor the store have responded for `cut_off_after`.
   bool cut_off() const;
   Duration confirmed_age() const;
 
  private:
   void begin_round();
-  void ask_store(uint64_t round);
-  void ask_peer(const Address& peer, uint64_t round);
-  void round_answer(uint64_t round, bool authoritative);
+  void query_store(uint64_t round);
+  void query_peer(const Address& peer, uint64_t round);
+  void on_round_response(uint64_t round, bool authoritative);
   void end_round();
-  // @param asked_at when the question was sent: the answer may have been true only then.
-  void take_head_row(const Expected<std::optional<Row>>& row, MonotonicTime asked_at);
-  void take_report(const HeadReport& report, MonotonicTime asked_at);
+  // @param sent_at when the request was sent; the response is only known to be valid at that time.
+  void on_head_row(const Expected<std::optional<Row>>& row, MonotonicTime sent_at);
+  void on_report(const HeadReport& report, MonotonicTime sent_at);
   void exchange_with_peer();
   void poll_store();
   void schedule_poll();
@@ -65,8 +65,8 @@
   ConfigurationHead known_;
   bool learned_ = false;
   uint64_t round_ = 0;
-  uint32_t pending_answers_ = 0;
-  bool authority_answered_ = false;  // the store, or a peer that serves, answered in this round
+  uint32_t pending_responses_ = 0;
+  bool authority_responded_ = false;  // the store or a serving peer has responded in this round
   MonotonicTime last_contact_;
   MonotonicTime confirmed_at_;
   TimerPtr round_timer_;
--- a/src/configuration/configuration_manager.cc
+++ b/src/configuration/configuration_manager.cc
@@ -10,10 +10,10 @@
 namespace chalkshed {
 namespace {
 
-// Block contents that ride along with a manifest.
-constexpr size_t kLongestAttachedBlocks = 64 * 1024;
+// Maximum total size of block contents attached to a manifest reply.
+constexpr size_t kMaxAttachedBlockBytes = 64 * 1024;
 
-std::string hexadecimal(uint64_t number) {
+std::string format_hex(uint64_t number) {
   std::array<char, 20> text{};
   std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(number));
   return text.data();
@@ -49,12 +49,13 @@
       knobs_(knobs),
       tracker_(
           dependencies, members, gossip, knobs_, [this] { return report(); },
-          [this] { head_changed(); }),
+          [this] { on_head_changed(); }),
       fetcher_(dependencies, members, cache_, knobs_),
       publisher_(dependencies, knobs_),
       members_(members),
       version_gauge_(dependencies.metrics.gauge("chalkshed_configuration_version",
-                                                "Version of the configuration in force here.", {})),
+                                                "Version of the active configuration on this node.",
+                                                {})),
       confirmed_age_gauge_(dependencies.metrics.gauge(
           "chalkshed_configuration_confirmed_age_seconds",
           "Time since the version was last confirmed to be the newest.", {})),
@@ -80,7 +81,7 @@
   return report;
 }
 
-// ---- What peers ask for.
+// ---- Requests of peers.
 
 void ConfigurationManager::register_peer_methods() {
   PeerServer& server = dependencies_.peer_server;
@@ -91,9 +92,9 @@
         if (!request) {
           reply(tl::unexpected(request.error()));
         } else if (cache_.find_manifest(request->digest) == nullptr) {
-          reply(tl::unexpected(not_run(ErrorKind::kNotFound,
-                                       "manifest " + request->digest + " is not here",
-                                       "ask another node or the object store")));
+          reply(tl::unexpected(not_run(
+              ErrorKind::kNotFound, "manifest " + request->digest + " is not cached on this node",
+              "request it from another node or the object store")));
         } else {
           reply(encode(answer_manifest(*request)));
         }
@@ -119,7 +120,7 @@
   size_t attached = 0;
   for (const auto& [name, digest] : reply.delta.changed) {
     const std::string* content = cache_.find_block(digest);
-    if (content != nullptr && attached + content->size() <= kLongestAttachedBlocks) {
+    if (content != nullptr && attached + content->size() <= kMaxAttachedBlockBytes) {
       attached += content->size();
       reply.blocks.push_back(*content);
     }
@@ -137,9 +138,9 @@
   return reply;
 }
 
-// ---- From a known head to the version in force.
+// ---- Fetching and installing the known head.
 
-void ConfigurationManager::head_changed() {
+void ConfigurationManager::on_head_changed() {
   if (tracker_.learned()) {
     fetch_known_head();
   }
@@ -155,16 +156,16 @@
     return;
   }
   if (fetcher_.busy()) {
-    return;  // fetched() looks again
+    return;  // on_fetched() calls this function again
   }
   fetcher_.fetch(head, applied_.manifest_digest,
                  lifetime_.guard([this, head](const Expected<std::monostate>& result) {
-                   fetched(head, result);
+                   on_fetched(head, result);
                  }));
 }
 
-void ConfigurationManager::fetched(const ConfigurationHead& head,
-                                   const Expected<std::monostate>& result) {
+void ConfigurationManager::on_fetched(const ConfigurationHead& head,
+                                      const Expected<std::monostate>& result) {
   if (result) {
     install(head);
   } else {
@@ -178,8 +179,8 @@
 }
 
 void ConfigurationManager::install(const ConfigurationHead& head) {
-  const bool upwards = current_ == nullptr || head.version > applied_.version;
-  if (!upwards && knobs_.safeguards.versions_only_upwards) {
+  const bool is_newer = current_ == nullptr || head.version > applied_.version;
+  if (!is_newer && knobs_.safeguards.versions_only_upwards) {
     return;
   }
   auto assembled = cache_.assemble(head);
@@ -193,7 +194,7 @@
   failed_fetches_ = 0;
   applied_ = head;
   current_ = *std::move(assembled);
-  forget_old_content();
+  evict_old_content();
   version_gauge_.set(static_cast<double>(head.version));
   dependencies_.logger.write(LogLevel::kInfo, "configuration_in_force",
                              {{"version", std::to_string(head.version)}, {"origin", head.origin}});
@@ -204,16 +205,16 @@
 }
 
 Duration ConfigurationManager::next_fetch_pause() {
-  constexpr uint32_t kMostDoublings = 10;
-  const uint32_t doublings = std::min(failed_fetches_++, kMostDoublings);
-  const Duration pause =
-      std::min(knobs_.fetch_retry * (1U << doublings), knobs_.longest_fetch_retry);
-  // Between half of the pause and the whole, so that nodes that fail together do not come together.
+  constexpr uint32_t kMaxDoublings = 10;
+  const uint32_t doublings = std::min(failed_fetches_++, kMaxDoublings);
+  const Duration pause = std::min(knobs_.fetch_retry * (1U << doublings), knobs_.max_fetch_retry);
+  // Jitter between half and all of the pause, so that nodes that failed together do not retry
+  // together.
   return pause / 2 + Duration(static_cast<int64_t>(
                          dependencies_.random.below(static_cast<uint64_t>(pause.count() / 2))));
 }
 
-void ConfigurationManager::forget_old_content() {
+void ConfigurationManager::evict_old_content() {
   recent_manifests_.push_front(applied_.manifest_digest);
   if (recent_manifests_.size() > knobs_.kept_versions) {
     recent_manifests_.resize(knobs_.kept_versions);
@@ -221,11 +222,11 @@
   cache_.retain({recent_manifests_.begin(), recent_manifests_.end()});
 }
 
-// ---- Versions of the past.
+// ---- Past versions.
 
 void ConfigurationManager::history(uint32_t limit,
                                    Callback<std::vector<ConfigurationHead>> callback) {
-  // Keys ascend with the version, so the newest are found from the known head downwards.
+  // Keys sort by version, so the newest rows start `limit` versions before the known head.
   const ConfigurationVersion newest = tracker_.known().version;
   ScanRequest scan{std::string(kConfigurationTable), "history/", "", limit};
   scan.after_key = newest > limit ? history_key(newest - limit) : "";
@@ -277,7 +278,8 @@
       }));
 }
 
-// A load of its own cache and fetcher, so that content of the past does not mix with the present.
+// Uses a separate cache and fetcher, so that content of past versions does not enter the main
+// cache.
 struct ConfigurationManager::VersionLoad {
   VersionLoad(NodeDependencies& dependencies, MembershipView& members,
               const ConfigurationKnobs& knobs)
@@ -294,7 +296,7 @@
       lifetime_.guard([this, load, head,
                        callback = std::move(callback)](const Expected<std::monostate>& result) {
         callback(result ? load->cache.assemble(head) : tl::unexpected(result.error()));
-        // The fetcher still stands on the stack here.
+        // Deferred destruction: the fetcher is still on the call stack here.
         dependencies_.dispatcher.post([load] {});
       }));
 }
@@ -307,7 +309,7 @@
     return tl::unexpected(not_run(ErrorKind::kTooLarge,
                                   "the configuration has " + std::to_string(bytes) +
                                       " bytes, more than " + std::to_string(knobs_.bundle_bytes),
-                                  "shorten it; long comments in policies count too"));
+                                  "shorten it; comments in policies count too"));
   }
   auto parsed = parse_configuration(bundle);
   if (!parsed) {
@@ -327,11 +329,11 @@
   if (!has_kept_keys(configuration)) {
     return configuration;
   }
-  // Keys of an older version must not come back.
+  // API keys of an older version must not be restored.
   const bool behind = current_ == nullptr || applied_.version < base_version.value_or(0);
   if (behind) {
     return tl::unexpected(not_run(ErrorKind::kUnavailable,
-                                  "this node does not have the base version yet, from which API "
+                                  "this node does not yet have the base version from which API "
                                   "keys are to be kept",
                                   "apply again in a few seconds, or through another node"));
   }
@@ -357,7 +359,7 @@
 struct ConfigurationManager::ApplyAttempt {
   Configuration configuration;
   ConfigurationVersion base_version = 0;
-  ConfigurationHead base;  // the head row as it was read
+  ConfigurationHead base;  // the head row as read
   PublishRequest publish;
   std::string difference;
   Callback<ApplyOutcome> callback;
@@ -373,8 +375,8 @@
   if (parsed && !base_version) {
     parsed = tl::unexpected(not_run(
         ErrorKind::kInvalidRequest, "the base version is missing",
-        "name the version that the text was edited from: version = N at the top of the document, "
-        "or the parameter base_version (0 when nothing was ever applied)"));
+        "give the version that the text was edited from: version = N at the top of the document, "
+        "or the parameter base_version (0 if nothing has been applied yet)"));
   }
   if (parsed) {
     auto resolved = resolve_kept_keys(parsed->configuration, base_version);
@@ -399,20 +401,19 @@
   head.author = std::move(request.author);
   head.comment = std::move(request.comment);
   head.origin = identity_.id;
-  head.attempt = identity_.id + "-" + hexadecimal(dependencies_.random.next());
+  head.attempt = identity_.id + "-" + format_hex(dependencies_.random.next());
   dependencies_.table_store.read(
       RowKey{std::string(kConfigurationTable), std::string(kConfigurationHeadKey)},
-      lifetime_.guard([this, attempt](const Expected<std::optional<Row>>& row) {
-        take_base_row(attempt, row);
-      }));
+      lifetime_.guard(
+          [this, attempt](const Expected<std::optional<Row>>& row) { on_base_row(attempt, row); }));
 }
 
-void ConfigurationManager::take_base_row(const ApplyAttemptPtr& attempt,
-                                         const Expected<std::optional<Row>>& row) {
+void ConfigurationManager::on_base_row(const ApplyAttemptPtr& attempt,
+                                       const Expected<std::optional<Row>>& row) {
   if (!row) {
     Error error = not_run(ErrorKind::kStoreUnavailable,
                           "the configuration was not accepted: " + row.error().message,
-                          "nothing has changed; apply again when the platform's store answers");
+                          "nothing has changed; apply again when the platform's store responds");
     error.retry_after = row.error().retry_after;
     attempt->callback(tl::unexpected(std::move(error)));
     return;
@@ -425,11 +426,12 @@
     }
     attempt->base = *head;
     attempt->publish.base_row_version = (*row)->version;
-    tracker_.hear(*head);
+    tracker_.observe_head(*head);
   }
   attempt->publish.split = split_configuration(attempt->configuration, knobs_.tenant_buckets);
   if (attempt->publish.split.manifest_digest == attempt->base.manifest_digest) {
-    // What is asked for is in force already; so ends a resend of an apply whose answer was lost.
+    // The requested content is already active, for example when an apply is resent after its
+    // response was lost.
     attempt->callback(ApplyOutcome{true, false, attempt->base.version, ""});
   } else if (attempt->base.version != attempt->base_version) {
     report_conflict(attempt);
@@ -453,12 +455,12 @@
   request.head.accepted_at = dependencies_.time_source.wall_now().time_since_epoch().count();
   publisher_.publish(request,
                      lifetime_.guard([this, attempt](const Expected<PublishOutcome>& outcome) {
-                       published(attempt, outcome);
+                       on_published(attempt, outcome);
                      }));
 }
 
-void ConfigurationManager::published(const ApplyAttemptPtr& attempt,
-                                     const Expected<PublishOutcome>& outcome) {
+void ConfigurationManager::on_published(const ApplyAttemptPtr& attempt,
+                                        const Expected<PublishOutcome>& outcome) {
   if (!outcome) {
     attempt->callback(tl::unexpected(outcome.error()));
     return;
@@ -475,7 +477,7 @@
   if (head.version > applied_.version) {
     install(head);
   }
-  tracker_.hear(head);
+  tracker_.observe_head(head);
   attempt->callback(ApplyOutcome{true, true, head.version, attempt->difference});
 }
 
@@ -489,24 +491,23 @@
             row && *row ? decode_head((*row)->value) : Expected<ConfigurationHead>(attempt->base);
         if (head) {
           conflict.version = head->version;
-          tracker_.hear(*head);
+          tracker_.observe_head(*head);
         }
         load_version(
             attempt->base_version,
             lifetime_.guard([this, attempt, conflict](const Expected<ConfigurationPtr>& base) {
               load_version(
-                  conflict.version,
-                  lifetime_.guard(
-                      [attempt, conflict, base](const Expected<ConfigurationPtr>& standing) {
-                        ApplyOutcome outcome = conflict;
-                        // Without the base (it may name a version that never was) the submitted
-                        // text stands in.
-                        const std::string before =
-                            base ? text_of(*base) : format_configuration(attempt->configuration);
-                        outcome.difference =
-                            standing ? configuration_difference(before, text_of(*standing)) : "";
-                        attempt->callback(outcome);
-                      }));
+                  conflict.version, lifetime_.guard([attempt, conflict, base](
+                                                        const Expected<ConfigurationPtr>& current) {
+                    ApplyOutcome outcome = conflict;
+                    // If the base cannot be loaded (its version may not exist), the submitted text
+                    // is compared instead.
+                    const std::string before =
+                        base ? text_of(*base) : format_configuration(attempt->configuration);
+                    outcome.difference =
+                        current ? configuration_difference(before, text_of(*current)) : "";
+                    attempt->callback(outcome);
+                  }));
             }));
       }));
 }
--- a/src/configuration/configuration_manager.h
+++ b/src/configuration/configuration_manager.h
@@ -1,8 +1,8 @@
-// Learns, applies and spreads the configuration. See docs/design/configuration.md.
+// Learns, applies and distributes the configuration. See docs/design/configuration.md.
 //
-// One head row in the table store names the version in force and the digest of its manifest; the
-// manifest names the digests of the blocks that hold the content. Nodes hear of a new head by
-// gossip and fetch what they lack from peers first, then from the object store.
+// One head row in the table store contains the active version and the digest of its manifest; the
+// manifest lists the digests of the blocks that contain the content. Nodes learn of a new head by
+// gossip and fetch missing content first from peers, then from the object store.
 #pragma once
 
 #include <deque>
@@ -26,10 +26,10 @@
 
 namespace chalkshed {
 
-// Asked of the cluster together with a bundle.
+// Request to apply a bundle.
 struct ApplyRequest {
   ConfigurationBundle bundle;
-  // Version that the operator's text was edited from; unless given, the bundle's own.
+  // Version that the operator's text was edited from; defaults to the version in the bundle.
   std::optional<ConfigurationVersion> base_version;
   std::string author;
   std::string comment;
@@ -37,12 +37,12 @@
 
 struct ApplyOutcome {
   bool accepted = false;
-  bool changed = false;              // accepted, but equal to what is in force: no new version
-  ConfigurationVersion version = 0;  // accepted: in force now; else the one that stands in the way
-  std::string difference;  // accepted: what changed; else what changed since the base version
+  bool changed = false;              // a new version was created; false if the content is equal
+  ConfigurationVersion version = 0;  // the active version, or the conflicting one
+  std::string difference;            // from the previous version, or from the base on a conflict
 };
 
-// What a bundle would change.
+// Result of checking a bundle.
 struct CheckOutcome {
   ConfigurationVersion current_version = 0;
   std::string difference;
@@ -59,20 +59,21 @@
   ConfigurationPtr current() const override { return current_; }
   void subscribe(std::function<void(const ConfigurationPtr&)> callback) override;
 
-  // The node has a configuration in force and is not cut off from everything. A node that is cut
-  // off goes on serving what reaches it, but asks not to be sent more.
+  // Whether the node has an active configuration and is not cut off. A node that is cut off
+  // continues to serve the requests it receives, but reports itself as not ready.
   bool ready() const { return current_ != nullptr && !tracker_.cut_off(); }
-  // The head was not confirmed by the store, directly or through peers, for long.
+  // Whether the head has not been confirmed by the store, directly or through peers, for
+  // `stale_after`.
   bool stale() const { return tracker_.confirmed_age() > knobs_.stale_after; }
-  // What this node knows and applies.
+  // The known head and applied version of this node.
   HeadReport report() const;
 
-  // Reads and checks a bundle, and evaluates the samples of its policies.
+  // Parses and checks a bundle, and evaluates the samples of its policies.
   Expected<CheckOutcome> check(const ConfigurationBundle& bundle) const;
 
-  // Checks a bundle and puts it in force. The callback comes once the head has moved and this node
-  // applies the new version. Errors: kInvalidRequest, kPolicyFailed, kStoreUnavailable (all
-  // Ran::kNo), kOutcomeUnknown.
+  // Checks a bundle and activates it. The callback is invoked once the head has been updated and
+  // this node applies the new version. Errors: kInvalidRequest, kPolicyFailed, kStoreUnavailable
+  // (all Ran::kNo), kOutcomeUnknown.
   void apply(ApplyRequest request, Callback<ApplyOutcome> callback);
 
   // Heads of the accepted versions, newest first, at most `limit`. Errors: kStoreUnavailable.
@@ -88,25 +89,25 @@
 
   Expected<ParsedConfiguration> parse_and_check(const ConfigurationBundle& bundle,
                                                 uint32_t& samples) const;
-  // Puts the API keys in force in place of kept_key() (redaction.h). Errors, Ran::kNo:
-  // kInvalidRequest, kUnavailable when this node is behind the base version.
+  // Replaces each kept_key() (redaction.h) by the active API key. Errors, Ran::kNo:
+  // kInvalidRequest, kUnavailable when this node has an older version than the base.
   Expected<Configuration> resolve_kept_keys(const Configuration& configuration,
                                             std::optional<ConfigurationVersion> base_version) const;
   void register_peer_methods();
   ManifestReply answer_manifest(const ManifestRequest& request) const;
   BlockReply answer_blocks(const BlockRequest& request) const;
 
-  void head_changed();
+  void on_head_changed();
   void fetch_known_head();
-  void fetched(const ConfigurationHead& head, const Expected<std::monostate>& result);
+  void on_fetched(const ConfigurationHead& head, const Expected<std::monostate>& result);
   void install(const ConfigurationHead& head);
-  // @return how long to wait before the next try to fetch.
+  // @return the delay before the next fetch attempt.
   Duration next_fetch_pause();
-  void forget_old_content();
+  void evict_old_content();
 
-  void take_base_row(const ApplyAttemptPtr& attempt, const Expected<std::optional<Row>>& row);
+  void on_base_row(const ApplyAttemptPtr& attempt, const Expected<std::optional<Row>>& row);
   void publish(const ApplyAttemptPtr& attempt);
-  void published(const ApplyAttemptPtr& attempt, const Expected<PublishOutcome>& outcome);
+  void on_published(const ApplyAttemptPtr& attempt, const Expected<PublishOutcome>& outcome);
   void report_conflict(const ApplyAttemptPtr& attempt);
   void load_head(const ConfigurationHead& head, Callback<ConfigurationPtr> callback);
 
@@ -121,7 +122,7 @@
   Gauge& version_gauge_;
   Gauge& confirmed_age_gauge_;
 
-  uint32_t failed_fetches_ = 0;  // since a version was last put in force
+  uint32_t failed_fetches_ = 0;  // since a version was last installed
   ConfigurationHead applied_;
   ConfigurationPtr current_;
   std::deque<std::string> recent_manifests_;  // digests, newest first
--- a/src/configuration/configuration_messages.cc
+++ b/src/configuration/configuration_messages.cc
@@ -9,7 +9,7 @@
 
 using flatbuffers::FlatBufferBuilder;
 
-constexpr uint64_t kLongestAgeMilliseconds = 1'000'000'000;
+constexpr uint64_t kMaxAgeMilliseconds = 1'000'000'000;
 
 template <typename Table>
 std::string finish(FlatBufferBuilder& builder, flatbuffers::Offset<Table> root) {
@@ -103,7 +103,7 @@
   report.learned = table->learned();
   report.cut_off = table->cut_off();
   report.confirmed_age = std::chrono::milliseconds(
-      std::min<uint64_t>(table->confirmed_age_milliseconds(), kLongestAgeMilliseconds));
+      std::min<uint64_t>(table->confirmed_age_milliseconds(), kMaxAgeMilliseconds));
   return report;
 }
 
--- a/src/configuration/configuration_messages.h
+++ b/src/configuration/configuration_messages.h
@@ -1,4 +1,4 @@
-// Typed form of the calls between nodes about the configuration.
+// Typed messages between nodes about the configuration.
 #pragma once
 
 #include <string>
@@ -15,14 +15,14 @@
 inline constexpr const char* kConfigurationManifestMethod = "configuration_manifest";
 inline constexpr const char* kConfigurationBlockMethod = "configuration_block";
 
-// What a node knows and applies; request and answer of kConfigurationHeadMethod.
+// The known head and applied version of a node; request and response of kConfigurationHeadMethod.
 struct HeadReport {
-  ConfigurationHead head;  // highest known; without author, comment and time
+  ConfigurationHead head;  // highest known head, without author, comment and time
   ConfigurationVersion applied_version = 0;
   bool learned = false;  // the node serves
-  bool cut_off = false;  // hears neither from peers nor from the store
-  // Time since the head was the highest in the store for certain, learned directly or through
-  // peers.
+  bool cut_off = false;  // receives no responses from peers or the store
+  // Time since the head was last known to be the highest in the store, confirmed directly or
+  // through peers.
   Duration confirmed_age{0};
 };
 
@@ -32,7 +32,7 @@
 };
 
 struct ManifestReply {
-  bool complete = false;  // `delta` starts from nothing, not from the known manifest
+  bool complete = false;  // `delta` is based on an empty manifest, not on the known one
   ManifestDelta delta;
   std::vector<std::string> blocks;  // contents
 };
@@ -51,7 +51,7 @@
 std::string encode(const BlockRequest& message);
 std::string encode(const BlockReply& message);
 
-// Errors: kInvalidRequest when the body is not such a message.
+// Errors: kInvalidRequest when the body is malformed.
 Expected<HeadReport> decode_head_report(std::string_view body);
 Expected<ManifestRequest> decode_manifest_request(std::string_view body);
 Expected<ManifestReply> decode_manifest_reply(std::string_view body);
--- a/src/configuration/configuration_publisher.cc
+++ b/src/configuration/configuration_publisher.cc
@@ -9,33 +9,33 @@
   return RowKey{std::string(kConfigurationTable), std::move(key)};
 }
 
-Error not_stored(const Error& cause) {
+Error not_accepted(const Error& cause) {
   Error error =
       not_run(ErrorKind::kStoreUnavailable, "the configuration was not accepted: " + cause.message,
-              "nothing has changed; apply again when the platform's store answers");
+              "nothing has changed; apply again when the platform's store responds");
   error.retry_after = cause.retry_after;
   return error;
 }
 
 Error outcome_unknown(const ConfigurationHead& head) {
   return maybe_run(ErrorKind::kOutcomeUnknown,
-                   "the store did not say whether version " + std::to_string(head.version) +
+                   "the store did not confirm whether version " + std::to_string(head.version) +
                        " was accepted (attempt " + head.attempt + ")",
                    "look for the attempt in the history, or apply again with the same base "
-                   "version; that cannot apply it twice");
+                   "version; it cannot be applied twice");
 }
 
-Error being_removed(const std::string& object, Duration grace) {
+Error object_being_removed(const std::string& object, Duration grace) {
   Error error = not_run(ErrorKind::kUnavailable,
                         "the configuration was not accepted: " + object +
-                            ", which it needs, is being removed with the old versions",
-                        "nothing has changed; apply again in some minutes");
+                            ", which it needs, is being removed with old versions",
+                        "nothing has changed; apply again in a few minutes");
   error.retry_after = grace;
   return error;
 }
 
-// The removal of old content changed its list, and nothing else was in the way.
-bool only_fence_moved(const CommitResult& result) {
+// Whether the commit failed only because the list of objects being removed has changed.
+bool only_fence_changed(const CommitResult& result) {
   return result.failed_conditions.size() == 1 &&
          result.failed_conditions.front() == removal_fence_key();
 }
@@ -51,7 +51,7 @@
                                     std::make_shared<const std::string>(std::move(content)));
     }
   }
-  // The manifest goes last, so that one that can be read is complete.
+  // The manifest is written last, so that all blocks of a readable manifest exist.
   attempt->objects.emplace_back(
       manifest_object_name(request.split.manifest_digest),
       std::make_shared<const std::string>(encode_manifest(request.split.manifest)));
@@ -66,14 +66,15 @@
   }
   dependencies_.table_store.read(
       removal_fence_key(),
-      lifetime_.guard(
-          [this, attempt](const Expected<std::optional<Row>>& row) { take_fence(attempt, row); }));
+      lifetime_.guard([this, attempt](const Expected<std::optional<Row>>& row) {
+        on_fence_row(attempt, row);
+      }));
 }
 
-void ConfigurationPublisher::take_fence(const AttemptPtr& attempt,
-                                        const Expected<std::optional<Row>>& row) {
+void ConfigurationPublisher::on_fence_row(const AttemptPtr& attempt,
+                                          const Expected<std::optional<Row>>& row) {
   if (!row) {
-    try_again(attempt, not_stored(row.error()), &ConfigurationPublisher::read_fence);
+    retry(attempt, not_accepted(row.error()), &ConfigurationPublisher::read_fence);
     return;
   }
   auto fence = decode_removal_fence(*row);
@@ -83,11 +84,11 @@
   }
   attempt->fence = *std::move(fence);
   if (const auto object = removed_object(*attempt)) {
-    attempt->callback(tl::unexpected(being_removed(*object, knobs_.removal_grace)));
+    attempt->callback(tl::unexpected(object_being_removed(*object, knobs_.removal_grace)));
     return;
   }
   attempt->next_object = 0;
-  attempt->tries = 0;
+  attempt->step_attempts = 0;
   put_next_object(attempt);
 }
 
@@ -108,7 +109,7 @@
 
 void ConfigurationPublisher::put_next_object(const AttemptPtr& attempt) {
   if (attempt->next_object == attempt->objects.size()) {
-    attempt->tries = 0;
+    attempt->step_attempts = 0;
     commit(attempt);
     return;
   }
@@ -116,11 +117,11 @@
   dependencies_.object_store.put(
       name, content, lifetime_.guard([this, attempt](const Expected<std::monostate>& result) {
         if (!result) {
-          try_again(attempt, not_stored(result.error()), &ConfigurationPublisher::put_next_object);
+          retry(attempt, not_accepted(result.error()), &ConfigurationPublisher::put_next_object);
           return;
         }
         ++attempt->next_object;
-        attempt->tries = 0;
+        attempt->step_attempts = 0;
         put_next_object(attempt);
       }));
 }
@@ -141,60 +142,61 @@
   dependencies_.table_store.commit(
       std::move(transaction),
       lifetime_.guard([this, attempt](const Expected<CommitResult>& result) {
-        take_commit_answer(attempt, result);
+        on_commit_result(attempt, result);
       }));
 }
 
-void ConfigurationPublisher::take_commit_answer(const AttemptPtr& attempt,
-                                                const Expected<CommitResult>& result) {
+void ConfigurationPublisher::on_commit_result(const AttemptPtr& attempt,
+                                              const Expected<CommitResult>& result) {
   if (result && result->committed) {
     attempt->callback(PublishOutcome::kCommitted);
     return;
   }
-  if (result && only_fence_moved(*result) && ++attempt->fence_reads < knobs_.commit_attempts) {
-    // What was written may be gone, so everything is done anew. Commits whose answers were lost did
-    // not take effect, for the head still stands, and cannot any more.
-    attempt->answer_lost = false;
+  if (result && only_fence_changed(*result) && ++attempt->fence_reads < knobs_.commit_attempts) {
+    // The written objects may have been removed, so the publication is restarted. Commits whose
+    // responses were lost have not been applied, since the head is unchanged, and can no longer
+    // succeed.
+    attempt->response_lost = false;
     read_fence(attempt);
     return;
   }
-  if (result && !attempt->answer_lost) {
+  if (result && !attempt->response_lost) {
     attempt->callback(PublishOutcome::kConflict);
     return;
   }
   if (!result && result.error().ran == Ran::kUnknown) {
     if (!knobs_.safeguards.read_back_lost_commits) {
-      attempt->callback(tl::unexpected(not_stored(result.error())));
+      attempt->callback(tl::unexpected(not_accepted(result.error())));
       return;
     }
-    attempt->answer_lost = true;
+    attempt->response_lost = true;
   }
-  if (attempt->answer_lost) {
+  if (attempt->response_lost) {
     read_back(attempt);
     return;
   }
-  try_again(attempt, not_stored(result.error()), &ConfigurationPublisher::commit);
+  retry(attempt, not_accepted(result.error()), &ConfigurationPublisher::commit);
 }
 
 void ConfigurationPublisher::read_back(const AttemptPtr& attempt) {
   dependencies_.table_store.read(
       configuration_row(history_key(attempt->request.head.version)),
       lifetime_.guard([this, attempt](const Expected<std::optional<Row>>& row) {
-        take_history_row(attempt, row);
+        on_history_row(attempt, row);
       }));
 }
 
-void ConfigurationPublisher::take_history_row(const AttemptPtr& attempt,
-                                              const Expected<std::optional<Row>>& row) {
+void ConfigurationPublisher::on_history_row(const AttemptPtr& attempt,
+                                            const Expected<std::optional<Row>>& row) {
   const ConfigurationHead& head = attempt->request.head;
   if (!row) {
-    try_again(attempt, outcome_unknown(head), &ConfigurationPublisher::read_back);
+    retry(attempt, outcome_unknown(head), &ConfigurationPublisher::read_back);
     return;
   }
   if (!*row) {
-    // Not applied so far. It may still be on its way, so only trying again can settle it: the
-    // conditions let at most one of the commits through.
-    try_again(attempt, outcome_unknown(head), &ConfigurationPublisher::commit);
+    // Not applied yet. The commit may still be in flight, so only repeating it can resolve the
+    // outcome: the conditions allow at most one of the commits to succeed.
+    retry(attempt, outcome_unknown(head), &ConfigurationPublisher::commit);
     return;
   }
   const auto written = decode_head((*row)->value);
@@ -202,19 +204,20 @@
   attempt->callback(ours ? PublishOutcome::kCommitted : PublishOutcome::kConflict);
 }
 
-void ConfigurationPublisher::try_again(const AttemptPtr& attempt, const Error& error,
-                                       void (ConfigurationPublisher::*step)(const AttemptPtr&)) {
-  if (++attempt->tries >= knobs_.commit_attempts) {
+void ConfigurationPublisher::retry(const AttemptPtr& attempt, const Error& error,
+                                   void (ConfigurationPublisher::*step)(const AttemptPtr&)) {
+  if (++attempt->step_attempts >= knobs_.commit_attempts) {
     attempt->callback(tl::unexpected(error));
     return;
   }
-  // The timer's callback keeps the attempt alive until it has run, and then lets go of it.
+  // The timer's callback owns the attempt until it has run; the timer is then reset to break the
+  // reference cycle.
   attempt->timer = dependencies_.dispatcher.create_timer(lifetime_.guard([this, attempt, step] {
     const AttemptPtr held = attempt;
     dependencies_.dispatcher.post(lifetime_.guard([held] { held->timer.reset(); }));
     (this->*step)(held);
   }));
-  attempt->timer->enable(knobs_.commit_retry * attempt->tries);
+  attempt->timer->enable(knobs_.commit_retry * attempt->step_attempts);
 }
 
 }  // namespace chalkshed
--- a/src/configuration/configuration_publisher.h
+++ b/src/configuration/configuration_publisher.h
@@ -1,4 +1,4 @@
-// Makes a new version durable: content first, then the head by compare-and-swap.
+// Publishes a new version: stores the content first, then updates the head by compare-and-swap.
 #pragma once
 
 #include <functional>
@@ -18,12 +18,12 @@
   SplitConfiguration split;
   std::set<std::string> stored_blocks;  // digests known to be in the object store
   ConfigurationHead head;               // the new head; its attempt is unique
-  RowVersion base_row_version = 0;      // of the head row that the new head is based on
+  RowVersion base_row_version = 0;      // row version of the head that the new head is based on
 };
 
 enum class PublishOutcome {
   kCommitted,
-  kConflict,  // another operator was faster; nothing of this attempt is in force
+  kConflict,  // another operator's change came first; this attempt had no effect
 };
 
 class ConfigurationPublisher {
@@ -31,9 +31,9 @@
   ConfigurationPublisher(NodeDependencies& dependencies, const ConfigurationKnobs& knobs)
       : dependencies_(dependencies), knobs_(knobs) {}
 
-  // Errors: kStoreUnavailable with Ran::kNo when the head certainly did not move, kUnavailable with
-  // Ran::kNo when old content is being removed that the new version needs, kOutcomeUnknown when a
-  // lost answer could not be resolved.
+  // Errors: kStoreUnavailable with Ran::kNo when the head is certain to be unchanged, kUnavailable
+  // with Ran::kNo when old content that the new version needs is being removed, kOutcomeUnknown
+  // when a lost response could not be resolved.
   void publish(PublishRequest request, Callback<PublishOutcome> callback);
 
  private:
@@ -42,26 +42,26 @@
     Callback<PublishOutcome> callback;
     std::vector<std::pair<std::string, std::shared_ptr<const std::string>>> objects;
     size_t next_object = 0;
-    uint32_t tries = 0;  // of the step under way
-    RemovalFence fence;  // as it was before the first object was written
+    uint32_t step_attempts = 0;  // of the current step
+    RemovalFence fence;          // as read before the first object was written
     uint32_t fence_reads = 0;
-    bool answer_lost = false;  // some commit may have been applied
+    bool response_lost = false;  // a commit may have been applied
     TimerPtr timer;
   };
   using AttemptPtr = std::shared_ptr<Attempt>;
 
   void read_fence(const AttemptPtr& attempt);
-  void take_fence(const AttemptPtr& attempt, const Expected<std::optional<Row>>& row);
-  // @return the first object of the new version that is being removed, if there is one.
+  void on_fence_row(const AttemptPtr& attempt, const Expected<std::optional<Row>>& row);
+  // @return an object of the new version that is being removed, if there is one.
   static std::optional<std::string> removed_object(const Attempt& attempt);
   void put_next_object(const AttemptPtr& attempt);
   void commit(const AttemptPtr& attempt);
-  void take_commit_answer(const AttemptPtr& attempt, const Expected<CommitResult>& result);
+  void on_commit_result(const AttemptPtr& attempt, const Expected<CommitResult>& result);
   void read_back(const AttemptPtr& attempt);
-  void take_history_row(const AttemptPtr& attempt, const Expected<std::optional<Row>>& row);
-  // Runs `step` after a pause, or fails with `error` once the tries are used up.
-  void try_again(const AttemptPtr& attempt, const Error& error,
-                 void (ConfigurationPublisher::*step)(const AttemptPtr&));
+  void on_history_row(const AttemptPtr& attempt, const Expected<std::optional<Row>>& row);
+  // Retries `step` after a pause, or fails with `error` once the attempts are exhausted.
+  void retry(const AttemptPtr& attempt, const Error& error,
+             void (ConfigurationPublisher::*step)(const AttemptPtr&));
 
   NodeDependencies& dependencies_;
   const ConfigurationKnobs& knobs_;
--- a/src/configuration/configuration_request.cc
+++ b/src/configuration/configuration_request.cc
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-constexpr size_t kLongestComment = 500;
+constexpr size_t kMaxCommentLength = 500;
 
 Error malformed(const std::string& problem) {
   return not_run(ErrorKind::kInvalidRequest, "the request body cannot be read: " + problem,
@@ -74,10 +74,10 @@
   }
   uint64_t number = 0;
   const char* const end = text.data() + text.size();
-  const auto [stop, code] = std::from_chars(text.data(), end, number);
-  if (code != std::errc() || stop != end) {
+  const auto [parsed_end, code] = std::from_chars(text.data(), end, number);
+  if (code != std::errc() || parsed_end != end) {
     return tl::unexpected(not_run(ErrorKind::kInvalidRequest,
-                                  "parameter " + name + " is \"" + text + "\", not a whole number",
+                                  "parameter " + name + " is \"" + text + "\", not an integer",
                                   "write " + name + "=N"));
   }
   return number;
@@ -88,8 +88,8 @@
   auto parsed = type.starts_with("application/json") ? parse_json_request(request.body)
                                                      : parse_toml_request(request);
   if (parsed) {
-    parsed->author.resize(std::min(parsed->author.size(), kLongestComment));
-    parsed->comment.resize(std::min(parsed->comment.size(), kLongestComment));
+    parsed->author.resize(std::min(parsed->author.size(), kMaxCommentLength));
+    parsed->comment.resize(std::min(parsed->comment.size(), kMaxCommentLength));
   }
   return parsed;
 }
--- a/src/configuration/configuration_retention.cc
+++ b/src/configuration/configuration_retention.cc
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kOwnershipKey = "configuration/retention";
 constexpr uint32_t kHistoryRowsPerScan = 200;
-// Objects removed between two looks at the fence.
+// Objects removed between two reads of the fence.
 constexpr size_t kRemovalsPerFenceRead = 20;
 
 RowKey head_row_key() {
@@ -28,11 +28,12 @@
       dependencies_(dependencies),
       members_(members),
       knobs_(knobs),
-      removed_versions_(
-          dependencies.metrics.counter("chalkshed_configuration_versions_removed_total",
-                                       "Versions removed from the history by their age.", {})),
-      removed_objects_(dependencies.metrics.counter("chalkshed_configuration_objects_removed_total",
-                                                    "Removed objects of old versions.", {})),
+      removed_versions_(dependencies.metrics.counter(
+          "chalkshed_configuration_versions_removed_total",
+          "Versions removed from the history because of their age.", {})),
+      removed_objects_(dependencies.metrics.counter(
+          "chalkshed_configuration_objects_removed_total",
+          "Objects of old versions removed from the object store.", {})),
       round_timer_(dependencies.dispatcher.create_timer([this] { begin_round(); })),
       pause_timer_(dependencies.dispatcher.create_timer([this] {
         const auto next = std::exchange(after_pause_, nullptr);
@@ -72,12 +73,12 @@
           return fail_round(fence.error());
         }
         fence_ = *std::move(fence);
-        fence_seen_at_ = began;
+        fence_read_at_ = began;
         next();
       }));
 }
 
-// ---- What may go.
+// ---- Selection of removable versions.
 
 void ConfigurationRetention::read_head() {
   dependencies_.table_store.read(head_row_key(),
@@ -86,7 +87,7 @@
                                      return fail_round(row.error());
                                    }
                                    if (!*row) {
-                                     return end_round();  // nothing was ever applied
+                                     return end_round();  // no version has been applied yet
                                    }
                                    const auto head = decode_head((*row)->value);
                                    if (!head) {
@@ -97,7 +98,7 @@
                                    if (references_.read_through() < head_version_) {
                                      read_history();
                                    } else {
-                                     raise_fence();
+                                     set_fence();
                                    }
                                  }));
 }
@@ -113,28 +114,29 @@
         if (!page) {
           return fail_round(page.error());
         }
-        unread_.clear();
+        unread_heads_.clear();
         for (auto row = page->rows.rbegin(); row != page->rows.rend(); ++row) {
           auto head = decode_head(row->value);
           if (!head) {
             return fail_round(head.error());
           }
-          unread_.push_back(*std::move(head));
+          unread_heads_.push_back(*std::move(head));
         }
-        if (unread_.empty()) {
-          return end_round();  // the head has no row in the history: not ours to judge
+        if (unread_heads_.empty()) {
+          return end_round();  // the head has no history row, so removable versions cannot be
+                               // determined
         }
         read_next_manifest();
       }));
 }
 
-// Without every manifest nothing can be judged, so one that cannot be read ends the round.
+// References can only be determined from all manifests, so an unreadable manifest fails the round.
 void ConfigurationRetention::read_next_manifest() {
-  if (unread_.empty()) {
-    return read_head();  // it may have moved on meanwhile
+  if (unread_heads_.empty()) {
+    return read_head();  // the head may have changed in the meantime
   }
-  const ConfigurationHead head = unread_.back();
-  unread_.pop_back();
+  const ConfigurationHead head = unread_heads_.back();
+  unread_heads_.pop_back();
   dependencies_.object_store.get(
       manifest_object_name(head.manifest_digest),
       lifetime_.guard([this, head](const Expected<std::shared_ptr<const std::string>>& content) {
@@ -149,14 +151,14 @@
       }));
 }
 
-void ConfigurationRetention::raise_fence() {
+void ConfigurationRetention::set_fence() {
   const int64_t now = dependencies_.time_source.wall_now().time_since_epoch().count();
   RemovalPlan plan = references_.plan(knobs_, now);
   if (plan.versions.empty()) {
     return end_round();
   }
   Transaction transaction;
-  // As long as the head stands, the versions that were read are all there are.
+  // As long as the head is unchanged, all existing versions have been read.
   transaction.conditions = {{head_row_key(), head_row_version_},
                             {removal_fence_key(), fence_.row_version}};
   transaction.writes = {{removal_fence_key(), encode_removal_fence(plan.objects)}};
@@ -165,14 +167,14 @@
         {{std::string(kConfigurationTable), history_key(version)}, std::nullopt});
   }
   write_fence(std::move(transaction), plan.objects, [this, plan] {
-    references_.forget(plan);
+    references_.erase(plan);
     removed_versions_.add(static_cast<double>(plan.versions.size()));
     to_remove_.assign(plan.objects.begin(), plan.objects.end());
     remove_next_objects();
   });
 }
 
-// ---- Removal behind the fence.
+// ---- Removal under the fence.
 
 void ConfigurationRetention::take_over_fence() {
   const std::set<std::string> objects = fence_.objects;
@@ -193,22 +195,22 @@
       lifetime_.guard([this, began, objects = std::move(objects),
                        next = std::move(next)](const Expected<CommitResult>& result) {
         if (!result) {
-          return fail_round(result.error());  // the next round looks at what became of it
+          return fail_round(result.error());  // the next round reads the resulting fence
         }
         if (!result->committed) {
-          return end_round();  // the head moved, or another node does this work
+          return end_round();  // the head has changed, or another node is running a round
         }
         fence_ = {objects, result->versions.front()};
-        fence_seen_at_ = began;
+        fence_read_at_ = began;
         next();
       }));
 }
 
 void ConfigurationRetention::remove_next_objects() {
   if (to_remove_.empty()) {
-    // A removal whose answer was lost may still be under way; nobody may write its object anew
-    // before it has arrived.
-    after_pause_ = [this] { lower_fence(); };
+    // A removal whose response was lost may still be in flight; its object must not be written
+    // again before the removal has been executed.
+    after_pause_ = [this] { clear_fence(); };
     pause_timer_->enable(knobs_.removal_grace);
     return;
   }
@@ -216,9 +218,9 @@
 }
 
 void ConfigurationRetention::remove_object(size_t index) {
-  const Duration since_seen = dependencies_.time_source.monotonic_now() - fence_seen_at_;
-  if (since_seen > knobs_.fence_trust) {
-    return end_round();  // paused; another node may lower the fence
+  const Duration since_read = dependencies_.time_source.monotonic_now() - fence_read_at_;
+  if (since_read > knobs_.fence_validity) {
+    return end_round();  // this node was paused; another node may have cleared the fence
   }
   dependencies_.object_store.remove(
       to_remove_.back(), lifetime_.guard([this, index](const Expected<std::monostate>& result) {
@@ -233,25 +235,25 @@
           } else if (index + 1 < kRemovalsPerFenceRead) {
             remove_object(index + 1);
           } else {
-            look_at_fence();
+            recheck_fence();
           }
         };
         pause_timer_->enable(knobs_.retention_pause);
       }));
 }
 
-void ConfigurationRetention::look_at_fence() {
+void ConfigurationRetention::recheck_fence() {
   const RowVersion own = fence_.row_version;
   read_fence([this, own] {
     if (fence_.row_version == own) {
       remove_next_objects();
     } else {
-      end_round();  // another node took over
+      end_round();  // another node has taken over
     }
   });
 }
 
-void ConfigurationRetention::lower_fence() {
+void ConfigurationRetention::clear_fence() {
   Transaction transaction;
   transaction.conditions = {{removal_fence_key(), fence_.row_version}};
   transaction.writes = {{removal_fence_key(), encode_removal_fence({})}};
--- a/src/configuration/configuration_retention.h
+++ b/src/configuration/configuration_retention.h
@@ -1,8 +1,8 @@
-// Removes old versions of the configuration and the content that no kept version needs.
+// Removes old versions of the configuration and content that no retained version refers to.
 //
-// One node, by rendezvous ownership, does a round every `retention_interval`. A second one that
-// believes to be it does no harm: the fence (removal_fence.h) belongs to whoever wrote its row
-// last.
+// One node, selected by rendezvous hashing, runs a round every `retention_interval`. It is safe if
+// two nodes consider themselves selected: the fence (removal_fence.h) is owned by the node that
+// wrote its row last.
 #pragma once
 
 #include <functional>
@@ -28,28 +28,29 @@
 
  private:
   void begin_round();
-  // Ends the round; the next one goes on where this one stood.
+  // Ends the round; the next one continues its work.
   void end_round();
   void fail_round(const Error& error);
 
   void read_fence(std::function<void()> next);
-  // Reads the head and, until all versions up to it are known, the history.
+  // Reads the head, and the history until all versions up to the head are known.
   void read_head();
   void read_history();
   void read_next_manifest();
-  // Raises the fence and removes the rows of the history, unless the head or the fence moved.
-  void raise_fence();
+  // Sets the fence and deletes the history rows, unless the head or the fence has changed.
+  void set_fence();
 
-  // Goes on with a round that did not come to its end. Whoever did it before cannot lower the fence
-  // any more.
+  // Continues a round that was not completed. The node that started it can then no longer clear the
+  // fence.
   void take_over_fence();
   void write_fence(Transaction transaction, std::set<std::string> objects,
                    std::function<void()> next);
-  // Removes what the fence lists, some objects at a time, and lowers it after the grace.
+  // Removes the objects listed in the fence in batches, and clears the fence after the grace
+  // period.
   void remove_next_objects();
   void remove_object(size_t index);
-  void look_at_fence();
-  void lower_fence();
+  void recheck_fence();
+  void clear_fence();
 
   const std::string node_id_;
   NodeDependencies& dependencies_;
@@ -62,9 +63,9 @@
   RemovalFence fence_;
   RowVersion head_row_version_ = 0;
   ConfigurationVersion head_version_ = 0;
-  std::vector<ConfigurationHead> unread_;  // heads whose manifests are read next, newest first
-  std::vector<std::string> to_remove_;     // objects that the fence lists and that remain
-  MonotonicTime fence_seen_at_{};          // when the last look at the fence began
+  std::vector<ConfigurationHead> unread_heads_;  // manifests not read yet, newest first
+  std::vector<std::string> to_remove_;  // objects listed in the fence that are not yet removed
+  MonotonicTime fence_read_at_{};       // when the last read or write of the fence was sent
   std::function<void()> after_pause_;
   TimerPtr round_timer_;
   TimerPtr pause_timer_;
--- a/src/configuration/configuration_status.cc
+++ b/src/configuration/configuration_status.cc
@@ -6,7 +6,7 @@
 namespace chalkshed {
 namespace {
 
-constexpr size_t kMostQuestionsAtATime = 32;
+constexpr size_t kMaxParallelRequests = 32;
 
 }  // namespace
 
@@ -14,8 +14,8 @@
   ConfigurationVersion wanted = 0;
   std::function<void(ConfigurationStatus)> callback;
   ConfigurationStatus status;
-  std::deque<size_t> to_ask;  // indexes into status.members
-  size_t asked = 0;           // questions under way
+  std::deque<size_t> pending;  // indexes into status.members
+  size_t in_flight = 0;        // requests in flight
 };
 
 void ConfigurationStatusCollector::collect(ConfigurationVersion wanted,
@@ -23,30 +23,30 @@
   auto collection = std::make_shared<Collection>();
   collection->wanted = wanted;
   collection->callback = std::move(callback);
-  std::map<NodeId, Remembered> still_members;
+  std::map<NodeId, CachedReport> retained_reports;
   for (const Member& member : members_.members()) {
     MemberStatus status;
     status.member = member;
     if (member.id == members_.self().id) {
       status.reachable = true;
       status.report = manager_.report();
-    } else if (!take_remembered(member, wanted, status)) {
-      collection->to_ask.push_back(collection->status.members.size());
+    } else if (!use_cached_report(member, wanted, status)) {
+      collection->pending.push_back(collection->status.members.size());
     }
-    if (const auto entry = remembered_.find(member.id); entry != remembered_.end()) {
-      still_members.insert(*entry);
+    if (const auto entry = cached_reports_.find(member.id); entry != cached_reports_.end()) {
+      retained_reports.insert(*entry);
     }
     collection->status.members.push_back(std::move(status));
   }
-  remembered_ = std::move(still_members);
-  dependencies_.dispatcher.post(lifetime_.guard([this, collection] { ask_next(collection); }));
+  cached_reports_ = std::move(retained_reports);
+  dependencies_.dispatcher.post(lifetime_.guard([this, collection] { send_requests(collection); }));
 }
 
-bool ConfigurationStatusCollector::take_remembered(const Member& member,
-                                                   ConfigurationVersion wanted,
-                                                   MemberStatus& status) {
-  const auto known = remembered_.find(member.id);
-  const bool usable = wanted > 0 && known != remembered_.end() &&
+bool ConfigurationStatusCollector::use_cached_report(const Member& member,
+                                                     ConfigurationVersion wanted,
+                                                     MemberStatus& status) {
+  const auto known = cached_reports_.find(member.id);
+  const bool usable = wanted > 0 && known != cached_reports_.end() &&
                       known->second.incarnation == member.incarnation &&
                       known->second.report.applied_version >= wanted;
   if (usable) {
@@ -56,36 +56,36 @@
   return usable;
 }
 
-void ConfigurationStatusCollector::ask_next(const CollectionPtr& collection) {
-  while (!collection->to_ask.empty() && collection->asked < kMostQuestionsAtATime) {
-    const size_t index = collection->to_ask.front();
-    collection->to_ask.pop_front();
-    ++collection->asked;
+void ConfigurationStatusCollector::send_requests(const CollectionPtr& collection) {
+  while (!collection->pending.empty() && collection->in_flight < kMaxParallelRequests) {
+    const size_t index = collection->pending.front();
+    collection->pending.pop_front();
+    ++collection->in_flight;
     dependencies_.peer_client.call(
         collection->status.members[index].member.http_address, kConfigurationHeadMethod,
         encode(manager_.report()),
         lifetime_.guard([this, collection, index](const Expected<std::string>& body) {
-          take_answer(collection, index, body);
+          on_report_body(collection, index, body);
         }));
   }
-  if (collection->asked == 0) {
+  if (collection->in_flight == 0) {
     finish(collection);
   }
 }
 
-void ConfigurationStatusCollector::take_answer(const CollectionPtr& collection, size_t index,
-                                               const Expected<std::string>& body) {
+void ConfigurationStatusCollector::on_report_body(const CollectionPtr& collection, size_t index,
+                                                  const Expected<std::string>& body) {
   MemberStatus& status = collection->status.members[index];
   const auto report = body ? decode_head_report(*body) : tl::unexpected(body.error());
   if (report) {
     status.reachable = true;
     status.report = *report;
-    remembered_[status.member.id] = Remembered{status.member.incarnation, *report};
+    cached_reports_[status.member.id] = CachedReport{status.member.incarnation, *report};
   } else {
     status.problem = report.error().message;
   }
-  --collection->asked;
-  ask_next(collection);
+  --collection->in_flight;
+  send_requests(collection);
 }
 
 void ConfigurationStatusCollector::finish(const CollectionPtr& collection) {
--- a/src/configuration/configuration_status.h
+++ b/src/configuration/configuration_status.h
@@ -1,4 +1,4 @@
-// Learns on demand which version every member applies.
+// Queries on demand which version every member applies.
 #pragma once
 
 #include <deque>
@@ -18,12 +18,12 @@
 struct MemberStatus {
   Member member;
   bool reachable = false;
-  HeadReport report;  // meaningless unless reachable
+  HeadReport report;  // only valid if reachable
   std::string problem;
 };
 
 struct ConfigurationStatus {
-  ConfigurationVersion version = 0;   // the highest that anyone knows
+  ConfigurationVersion version = 0;   // the highest known to any member
   std::vector<MemberStatus> members;  // ordered by id
   std::vector<std::string> lagging;   // ids of members that do not apply `version`
   bool in_force_everywhere() const { return lagging.empty(); }
@@ -35,22 +35,22 @@
                                MembershipView& members)
       : manager_(manager), dependencies_(dependencies), members_(members) {}
 
-  // Asks every member for its report. With `wanted` above 0, members that once reported this
-  // version or a higher one are not asked again: versions only rise, so repeated questions cost
-  // the laggards' answers only. The status then refers to the version `wanted`.
+  // Queries the report of every member. With `wanted` above 0, members that have reported this
+  // version or a higher one are not queried again: versions only increase, so repeated calls only
+  // query lagging members. The status then refers to the version `wanted`.
   void collect(ConfigurationVersion wanted, std::function<void(ConfigurationStatus)> callback);
 
  private:
   struct Collection;
   using CollectionPtr = std::shared_ptr<Collection>;
 
-  bool take_remembered(const Member& member, ConfigurationVersion wanted, MemberStatus& status);
-  void ask_next(const CollectionPtr& collection);
-  void take_answer(const CollectionPtr& collection, size_t index,
-                   const Expected<std::string>& body);
+  bool use_cached_report(const Member& member, ConfigurationVersion wanted, MemberStatus& status);
+  void send_requests(const CollectionPtr& collection);
+  void on_report_body(const CollectionPtr& collection, size_t index,
+                      const Expected<std::string>& body);
   static void finish(const CollectionPtr& collection);
 
-  struct Remembered {
+  struct CachedReport {
     uint64_t incarnation = 0;
     HeadReport report;
   };
@@ -58,7 +58,7 @@
   const ConfigurationManager& manager_;
   NodeDependencies& dependencies_;
   MembershipView& members_;
-  std::map<NodeId, Remembered> remembered_;
+  std::map<NodeId, CachedReport> cached_reports_;
   Lifetime lifetime_;
 };
 
--- a/src/configuration/configuration_text.cc
+++ b/src/configuration/configuration_text.cc
@@ -9,21 +9,21 @@
 namespace chalkshed {
 namespace {
 
-constexpr double kLongestDeadlineSeconds = 24.0 * 3600;
-constexpr double kHighestRate = 1e9;
-constexpr double kHighestWeight = 1e6;
-constexpr size_t kLongestName = 64;
+constexpr double kMaxDeadlineSeconds = 24.0 * 3600;
+constexpr double kMaxRate = 1e9;
+constexpr double kMaxWeight = 1e6;
+constexpr size_t kMaxNameLength = 64;
 
-// Names stand in paths, object names and metrics, so only plain characters are allowed.
+// Names are used in paths, object names and metrics, so the character set is restricted.
 bool valid_name(std::string_view name) {
   const auto plain = [](unsigned char character) {
     return std::isalnum(character) != 0 || character == '-' || character == '_' || character == '.';
   };
-  return !name.empty() && name.size() <= kLongestName &&
+  return !name.empty() && name.size() <= kMaxNameLength &&
          std::all_of(name.begin(), name.end(), plain);
 }
 
-// Reads one document into a configuration that documents share.
+// Parses one document into a configuration that is shared by all documents.
 class DocumentParser {
  public:
   DocumentParser(const ConfigurationDocument& document,
@@ -98,7 +98,7 @@
     std::string kind = "model";
     reader.read("kind", kind);
     if (kind != "model" && kind != "plain") {
-      reader.fail(*table.get("kind"), "kind", "is \"" + kind + "\", which is no kind of service",
+      reader.fail(*table.get("kind"), "kind", "is \"" + kind + "\", which is not a kind of service",
                   "write \"model\" or \"plain\"");
     }
     service.kind = kind == "plain" ? ServiceKind::kPlain : ServiceKind::kModel;
@@ -106,7 +106,7 @@
     reader.read("models", service.models);
     reader.read("policy", service.policy);
     reader.read_seconds("request_deadline_seconds", service.request_deadline, 0.001,
-                        kLongestDeadlineSeconds);
+                        kMaxDeadlineSeconds);
     reader.read("retry_budget_fraction", service.retry_budget_fraction, 0, 1);
     reader.read_integer("max_sequences_per_worker", service.max_sequences_per_worker, 1, 100'000);
     reader.read("batch_enabled", service.batch_enabled);
@@ -136,12 +136,12 @@
     TenantConfiguration tenant;
     tenant.name = name;
     reader.read("api_key", tenant.api_key);
-    reader.read("requests_per_second", tenant.requests_per_second, 0, kHighestRate);
-    reader.read("request_burst", tenant.request_burst, 0, kHighestRate);
-    reader.read("batch_weight", tenant.batch_weight, 0.001, kHighestWeight);
+    reader.read("requests_per_second", tenant.requests_per_second, 0, kMaxRate);
+    reader.read("request_burst", tenant.request_burst, 0, kMaxRate);
+    reader.read("batch_weight", tenant.batch_weight, 0.001, kMaxWeight);
     reader.reject_unknown_keys();
     if (tenant.api_key.empty()) {
-      reader.fail(table, "api_key", "is missing", "give the tenant the key its callers send");
+      reader.fail(table, "api_key", "is missing", "set the key that the tenant's callers send");
     }
     add(target_.tenants, std::move(tenant), reader, table);
   }
@@ -155,12 +155,13 @@
     reader.read("file", file);
     if (policy.source.empty() == file.empty()) {
       reader.fail(table, "", "needs exactly one of source and file",
-                  "write the program as source, or name the file that holds it");
+                  "set source to the program, or file to the name of its file");
     }
     if (!file.empty()) {
       const auto found = policy_files_.find(file);
       if (found == policy_files_.end()) {
-        reader.fail(*table.get("file"), "file", "names \"" + file + "\", which was not sent along",
+        reader.fail(*table.get("file"), "file",
+                    "names \"" + file + "\", which is not part of the request",
                     "check the name, or put the program into source");
       } else {
         policy.source = found->second;
@@ -178,7 +179,7 @@
     }
     for (const toml::node& node : *samples) {
       if (!node.is_table()) {
-        reader.fail(node, "samples", "must hold tables",
+        reader.fail(node, "samples", "must contain tables",
                     "write [[" + reader.path_of("samples") + "]]");
         return;
       }
@@ -203,17 +204,17 @@
   }
 
   void read_request(const toml::table& table, const std::string& path, RequestAttributes& request) {
-    constexpr int64_t kMostTokens = 100'000'000;
+    constexpr int64_t kMaxTokens = 100'000'000;
     TomlReader reader(table, document_.name, path, error_);
     reader.read("service", request.service);
     reader.read("tenant", request.tenant);
     reader.read("model", request.model);
     reader.read("path", request.path);
-    reader.read_integer("prompt_tokens", request.prompt_tokens, 0, kMostTokens);
-    reader.read_integer("max_tokens", request.max_tokens, 0, kMostTokens);
+    reader.read_integer("prompt_tokens", request.prompt_tokens, 0, kMaxTokens);
+    reader.read_integer("max_tokens", request.max_tokens, 0, kMaxTokens);
     reader.read("streamed", request.streamed);
     reader.read("batch", request.batch);
-    reader.read_seconds("deadline_seconds", request.deadline, 0, kLongestDeadlineSeconds);
+    reader.read_seconds("deadline_seconds", request.deadline, 0, kMaxDeadlineSeconds);
     reader.read("urgency_hint", request.urgency_hint);
     reader.reject_unknown_keys();
   }
@@ -230,9 +231,9 @@
                     "write \"urgent\", \"normal\" or \"deferrable\"");
       }
     }
-    reader.read_seconds("deadline_seconds", expect.deadline, 0, kLongestDeadlineSeconds);
+    reader.read_seconds("deadline_seconds", expect.deadline, 0, kMaxDeadlineSeconds);
     read_optional(reader, "batch_fill", expect.batch_fill, 1);
-    read_optional(reader, "batch_weight", expect.batch_weight, kHighestWeight);
+    read_optional(reader, "batch_weight", expect.batch_weight, kMaxWeight);
     if (reader.has("refuse")) {
       reader.read("refuse", expect.refuse.emplace());
     }
@@ -240,9 +241,9 @@
   }
 
   static void read_optional(TomlReader& reader, std::string_view key, std::optional<double>& target,
-                            double most) {
+                            double maximum) {
     if (reader.has(key)) {
-      reader.read(key, target.emplace(), 0, most);
+      reader.read(key, target.emplace(), 0, maximum);
     }
   }
 
@@ -257,7 +258,7 @@
   return not_run(
       ErrorKind::kInvalidRequest,
       "services." + service + ".models: \"" + model + "\" is already offered by services." + other,
-      "give each model name to one service only");
+      "assign each model name to one service only");
 }
 
 Error policy_undefined(const ServiceConfiguration& service) {
@@ -270,7 +271,7 @@
 Error key_used_twice(const std::string& tenant, const std::string& other) {
   return not_run(ErrorKind::kInvalidRequest,
                  "tenants." + tenant + ".api_key is the same as that of tenants." + other,
-                 "give each tenant a key of its own");
+                 "give each tenant a unique key");
 }
 
 std::optional<Error> check_models(const Configuration& configuration) {
--- a/src/configuration/configuration_text.h
+++ b/src/configuration/configuration_text.h
@@ -1,4 +1,4 @@
-// The operators' text form of a configuration (TOML): reading with checks, and the canonical form.
+// The TOML text form of a configuration: parsing with validation, and canonical formatting.
 #pragma once
 
 #include <map>
@@ -17,34 +17,34 @@
   std::string text;
 };
 
-// Everything an operator submits at once. Sections may be spread over documents.
+// Everything that an operator submits at once. Sections may be distributed over documents.
 struct ConfigurationBundle {
   std::vector<ConfigurationDocument> documents;
   std::map<std::string, std::string> policy_files;  // content by the name used in `file = "..."`
 };
 
-// What a bundle says. `base_version` is the document's own `version` key: the version that the
-// text was edited from.
+// Parsed content of a bundle. `base_version` is the `version` key of the document: the version that
+// the text was edited from.
 struct ParsedConfiguration {
   Configuration configuration;
   std::optional<ConfigurationVersion> base_version;
 };
 
-// Reads and checks a bundle. Errors: kInvalidRequest, Ran::kNo, naming document, line and field.
-// Unknown keys, names defined twice, dangling policy references, a model offered by two services
-// and an API key used by two tenants are errors. Policies are not evaluated here.
+// Parses and validates a bundle. Errors: kInvalidRequest, Ran::kNo, naming document, line and
+// field. Unknown keys, names defined twice, dangling policy references, a model offered by two
+// services and an API key used by two tenants are errors. Policies are not evaluated here.
 Expected<ParsedConfiguration> parse_configuration(const ConfigurationBundle& bundle);
 
-// Reads one document without the checks across sections; blocks are read this way.
+// Parses one document without cross-section validation; used for blocks.
 Expected<Configuration> parse_configuration_fragment(const ConfigurationDocument& document);
 
-// @return the canonical text: sections in alphabetical order within their kind, every field of
-// services and tenants written. Equal configurations give equal texts. With `version` above 0 the
-// text begins with `version = N`.
+// @return the canonical text: sections in alphabetical order within their kind, with all fields of
+// services and tenants. Equal configurations have equal texts. With `version` above 0 the text
+// begins with `version = N`.
 std::string format_configuration(const Configuration& configuration);
 
-// @return the lines by which two texts differ, marked '-' (only in `before`) and '+' (only in
-// `after`), each under its section heading; empty when they are equal.
+// @return the differing lines of two texts, marked '-' (only in `before`) and '+' (only in `after`)
+// under their section headings; empty when the texts are equal.
 std::string configuration_difference(const std::string& before, const std::string& after);
 
 }  // namespace chalkshed
--- a/src/configuration/redaction.cc
+++ b/src/configuration/redaction.cc
@@ -70,7 +70,7 @@
       return tl::unexpected(
           not_run(ErrorKind::kInvalidRequest,
                   "tenants." + name + ".api_key is the same as that of tenants." + owner->second,
-                  "give every tenant a key of its own"));
+                  "give each tenant a unique key"));
     }
   }
   return configuration;
--- a/src/configuration/removal_fence.cc
+++ b/src/configuration/removal_fence.cc
@@ -24,9 +24,10 @@
   } catch (const nlohmann::json::exception& failure) {
     return tl::unexpected(not_run(
         ErrorKind::kInternal,
-        "the list of removed configuration content cannot be read: " + std::string(failure.what()),
-        "look at the row \"removal\" of the table \"configuration\"; another program may write "
-        "there"));
+        "the list of configuration content being removed cannot be read: " +
+            std::string(failure.what()),
+        "inspect the row \"removal\" of the table \"configuration\"; another program may have "
+        "written there"));
   }
 }
 
--- a/src/configuration/removal_fence.h
+++ b/src/configuration/removal_fence.h
@@ -1,8 +1,7 @@
-// The fence between applies and the removal of old content: a row that lists the objects that are
-// being removed.
+// Fence between applies and the removal of old content: a row that lists the objects being removed.
 //
-// An apply reads the row before it writes its first object, refuses to refer to what the row lists,
-// and moves the head on the condition that the row is unchanged. So no version that refers to a
+// An apply reads the row before it writes its first object, fails if it refers to a listed object,
+// and updates the head on condition that the row is unchanged. So no version that refers to a
 // removed object is ever accepted, however long an apply is paused between its steps. The row is
 // never deleted, so its version never returns to one that an apply has read.
 #pragma once
@@ -17,7 +16,8 @@
 namespace chalkshed {
 
 struct RemovalFence {
-  std::set<std::string> objects;  // names in the object store; empty while nothing is removed
+  // Names in the object store; empty while no removal is in progress.
+  std::set<std::string> objects;
   RowVersion row_version = 0;
 };
 
@@ -25,8 +25,8 @@
 
 std::string encode_removal_fence(const std::set<std::string>& objects);
 
-// @param row the fence's row, or nothing when there never was a removal.
-// Errors: kInternal when another program wrote it.
+// @param row the fence's row, or nothing if there has never been a removal.
+// Errors: kInternal when the row is malformed.
 Expected<RemovalFence> decode_removal_fence(const std::optional<Row>& row);
 
 }  // namespace chalkshed
--- a/src/configuration/toml_reader.h
+++ b/src/configuration/toml_reader.h
@@ -1,4 +1,5 @@
-// Checked reading of TOML tables. Includes the TOML library, so only .cc files include this.
+// Validating reader of TOML tables. Includes the TOML library, so it must only be included by .cc
+// files.
 #pragma once
 
 #include <toml++/toml.h>
@@ -15,13 +16,13 @@
 
 namespace chalkshed {
 
-// Reads the fields of one table and remembers the first mistake. Fields that are absent leave
-// their target as it was.
+// Reads the fields of one table and records the first error. Absent fields leave their target
+// unchanged.
 class TomlReader {
  public:
   // @param document name for error messages.
   // @param path dotted path of the table within the document; empty for the root.
-  // @param error receives the first mistake of all readers that share it.
+  // @param error receives the first error of all readers that share it.
   TomlReader(const toml::table& table, std::string document, std::string path,
              std::optional<Error>& error)
       : table_(table), document_(std::move(document)), path_(std::move(path)), error_(error) {}
@@ -31,7 +32,7 @@
       if (const auto value = node->value_exact<std::string>()) {
         target = *value;
       } else {
-        fail(*node, key, "must be a text", "write it in quotes");
+        fail(*node, key, "must be a string", "write it in quotes");
       }
     }
   }
@@ -46,42 +47,42 @@
     }
   }
 
-  // Numbers must lie within [least, most].
-  void read(std::string_view key, double& target, double least, double most) {
+  // Numbers must be in [minimum, maximum].
+  void read(std::string_view key, double& target, double minimum, double maximum) {
     const toml::node* node = find(key);
     if (node == nullptr) {
       return;
     }
     const auto value = node->is_number() ? node->value<double>() : std::nullopt;
-    if (!value || !std::isfinite(*value) || *value < least || *value > most) {
-      fail(*node, key, "must be a number from " + shorten(least) + " to " + shorten(most),
-           "choose a number within these bounds");
+    if (!value || !std::isfinite(*value) || *value < minimum || *value > maximum) {
+      fail(*node, key, "must be a number from " + shorten(minimum) + " to " + shorten(maximum),
+           "choose a number in this range");
       return;
     }
     target = *value;
   }
 
   template <typename Integer>
-  void read_integer(std::string_view key, Integer& target, int64_t least, int64_t most) {
+  void read_integer(std::string_view key, Integer& target, int64_t minimum, int64_t maximum) {
     const toml::node* node = find(key);
     if (node == nullptr) {
       return;
     }
     const auto value = node->value_exact<int64_t>();
-    if (!value || *value < least || *value > most) {
+    if (!value || *value < minimum || *value > maximum) {
       fail(*node, key,
-           "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most),
-           "choose a whole number within these bounds");
+           "must be an integer from " + std::to_string(minimum) + " to " + std::to_string(maximum),
+           "choose an integer in this range");
       return;
     }
     target = static_cast<Integer>(*value);
   }
 
-  // Seconds in the text, a Duration in the program.
+  // Reads a number of seconds as a Duration.
   template <typename Target>
-  void read_seconds(std::string_view key, Target& target, double least, double most) {
+  void read_seconds(std::string_view key, Target& target, double minimum, double maximum) {
     double seconds = std::numeric_limits<double>::quiet_NaN();
-    read(key, seconds, least, most);
+    read(key, seconds, minimum, maximum);
     if (!std::isnan(seconds)) {
       target = Duration(static_cast<int64_t>(std::llround(seconds * 1e6)));
     }
@@ -94,21 +95,21 @@
     }
     const toml::array* array = node->as_array();
     if (array == nullptr) {
-      fail(*node, key, "must be a list of texts", "write it as [\"first\", \"second\"]");
+      fail(*node, key, "must be a list of strings", "write it as [\"first\", \"second\"]");
       return;
     }
     target.clear();
     for (const toml::node& element : *array) {
       const auto value = element.value_exact<std::string>();
       if (!value) {
-        fail(element, key, "must hold only texts", "write each element in quotes");
+        fail(element, key, "must contain only strings", "write each element in quotes");
         return;
       }
       target.push_back(*value);
     }
   }
 
-  // @return the table under `key`, if there is one.
+  // @return the table at `key`, if there is one.
   const toml::table* table(std::string_view key) {
     const toml::node* node = find(key);
     if (node == nullptr) {
@@ -120,7 +121,7 @@
     return node->as_table();
   }
 
-  // @return the array under `key`, if there is one.
+  // @return the array at `key`, if there is one.
   const toml::array* array(std::string_view key) {
     const toml::node* node = find(key);
     if (node == nullptr) {
@@ -134,7 +135,7 @@
 
   bool has(std::string_view key) const { return table_.contains(key); }
 
-  // Reports the first key that nothing has asked for.
+  // Reports the first key that has not been read.
   void reject_unknown_keys() {
     for (const auto& [key, node] : table_) {
       if (!known_.contains(std::string(key.str()))) {
--- a/src/configuration/toml_writer.cc
+++ b/src/configuration/toml_writer.cc
@@ -8,7 +8,7 @@
 namespace chalkshed {
 namespace {
 
-constexpr size_t kLongestNumber = 32;
+constexpr size_t kMaxNumberLength = 32;
 
 bool is_bare_key(const std::string& name) {
   return !name.empty() && std::all_of(name.begin(), name.end(), [](unsigned char character) {
@@ -16,7 +16,7 @@
   });
 }
 
-// Whether the text has several lines that can stand as they are.
+// Whether the text has several lines and can be written as a multi-line literal string.
 bool fits_multi_line_literal(const std::string& text) {
   const bool plain = std::none_of(text.begin(), text.end(), [](unsigned char character) {
     const bool control = character < 0x20 || character == 0x7f;
@@ -32,7 +32,8 @@
   if (fits_multi_line_literal(text)) {
     return "'''\n" + text + "'''";
   }
-  // The library's own choice of a multi-line form is avoided: it does not see ''' in the text.
+  // Does not let the library choose a multi-line form, because it does not check for ''' in the
+  // text.
   const toml::value<std::string> value(text);
   std::ostringstream stream;
   stream << toml::toml_formatter(value, toml::format_flags::none);
@@ -40,10 +41,10 @@
 }
 
 std::string toml_number(double number) {
-  std::array<char, kLongestNumber> text{};
+  std::array<char, kMaxNumberLength> text{};
   const auto end = std::to_chars(text.data(), text.data() + text.size(), number).ptr;
   std::string shortest(text.data(), end);
-  // Without a point or an exponent TOML would read a whole number.
+  // Without a decimal point or an exponent TOML would parse an integer.
   return shortest.find_first_of(".e") == std::string::npos ? shortest + ".0" : shortest;
 }
 
--- a/src/configuration/toml_writer.h
+++ b/src/configuration/toml_writer.h
@@ -1,4 +1,4 @@
-// Writing of canonical TOML: the same values always give the same text.
+// Writes canonical TOML: equal values always produce equal text.
 #pragma once
 
 #include <string>
@@ -7,14 +7,15 @@
 
 namespace chalkshed {
 
-// @return the text as a TOML string; several lines stay several lines where TOML can write them.
+// @return the text as a TOML string; uses a multi-line string if TOML can represent the text as
+// one.
 std::string toml_text(const std::string& text);
-// @return the shortest form that reads back as the same number.
+// @return the shortest representation that parses as the same number.
 std::string toml_number(double number);
-// @return the name as a key, quoted where it must be.
+// @return the name as a key, quoted if necessary.
 std::string toml_key(const std::string& name);
 
-// Fields of one table, in the order in which they are added.
+// Fields of one table, in insertion order.
 class TomlFields {
  public:
   void add_text(std::string_view key, const std::string& value);
@@ -22,10 +23,10 @@
   void add_number(std::string_view key, double value);
   void add_integer(std::string_view key, uint64_t value);
   void add_flag(std::string_view key, bool value);
-  // Adds another table within braces.
+  // Adds an inline table.
   void add_fields(std::string_view key, const TomlFields& fields);
 
-  // @return one line a field.
+  // @return one line per field.
   std::string lines() const;
   bool empty() const { return fields_.empty(); }
 
--- a/src/configuration/version_references.cc
+++ b/src/configuration/version_references.cc
@@ -14,11 +14,11 @@
 RemovalPlan VersionReferences::plan(const ConfigurationKnobs& knobs, int64_t now) const {
   RemovalPlan plan;
   for (const auto& [version, accepted_at] : accepted_at_) {
-    const bool among_newest = version + knobs.retained_versions > read_through_;
-    const bool young = now - accepted_at < knobs.retained_age.count();
-    const bool enough = plan.versions.size() >= knobs.removed_versions_per_round;
-    if (among_newest || young || enough) {
-      break;  // and so are all that follow: what is kept has no gaps
+    const bool is_retained = version + knobs.retained_versions > read_through_;
+    const bool is_recent = now - accepted_at < knobs.retained_age.count();
+    const bool round_full = plan.versions.size() >= knobs.removed_versions_per_round;
+    if (is_retained || is_recent || round_full) {
+      break;  // all later versions are kept too, so that the kept versions have no gaps
     }
     plan.versions.push_back(version);
   }
@@ -33,7 +33,7 @@
   return plan;
 }
 
-void VersionReferences::forget(const RemovalPlan& plan) {
+void VersionReferences::erase(const RemovalPlan& plan) {
   for (const ConfigurationVersion version : plan.versions) {
     accepted_at_.erase(version);
   }
--- a/src/configuration/version_references.h
+++ b/src/configuration/version_references.h
@@ -1,4 +1,4 @@
-// Which stored versions refer to which objects, as far as the history was read.
+// Tracks which stored versions refer to which objects, as far as the history has been read.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace chalkshed {
 
-// What a round of the retention removes.
+// Versions and objects to remove in one retention round.
 struct RemovalPlan {
   std::vector<ConfigurationVersion> versions;
   std::set<std::string> objects;  // names in the object store
@@ -20,14 +20,14 @@
 
 class VersionReferences {
  public:
-  // Adds a version; in ascending order.
+  // Adds a version. Versions must be added in ascending order.
   void add(const ConfigurationHead& head, const ConfigurationManifest& manifest);
   ConfigurationVersion read_through() const { return read_through_; }
 
-  // @return the oldest versions that may go at wall-clock time `now` (microseconds since 1970), and
-  // the objects that no later version refers to.
+  // @return the oldest versions that may be removed at wall-clock time `now` (microseconds since
+  // 1970), and the objects that no later version refers to.
   RemovalPlan plan(const ConfigurationKnobs& knobs, int64_t now) const;
-  void forget(const RemovalPlan& plan);
+  void erase(const RemovalPlan& plan);
 
  private:
   std::map<ConfigurationVersion, int64_t> accepted_at_;
--- a/tests/configuration/configuration_fuzz_test.cc
+++ b/tests/configuration/configuration_fuzz_test.cc
@@ -1,5 +1,5 @@
-// Stateful fuzzing of configuration managers against an oracle: operators, cuts, outages, restarts
-// and lost commit answers in any order.
+// Model-based fuzzing of configuration managers against an oracle: applies, partitions, outages,
+// restarts and lost commit responses in any order.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 #include <rapidcheck/state.h>
@@ -11,10 +11,11 @@
 
 constexpr size_t kNodes = 4;
 
-// What was answered, and from it what must hold. Every change adds a tenant of its own.
+// Outcomes reported to callers, from which the expected state follows. Every change adds a unique
+// tenant.
 struct Oracle {
   std::map<ConfigurationVersion, std::set<std::string>> accepted;  // tenants by version
-  std::set<std::string> refused;  // tenants of changes that were called not applied
+  std::set<std::string> refused;  // tenants of changes that were reported as not applied
 
   ConfigurationVersion highest() const { return accepted.empty() ? 0 : accepted.rbegin()->first; }
 };
@@ -36,8 +37,8 @@
     cluster.run(1000);
   }
 
-  void apply(size_t node, CommitFault fault, uint32_t versions_back) {
-    cluster[node].table.release_reads();  // the apply reads, too
+  void apply(size_t node, CommitFault fault, uint32_t base_lag) {
+    cluster[node].table.release_reads();  // the apply reads as well
     const ConfigurationPtr base = cluster[node].manager.current();
     if (base == nullptr) {
       return;
@@ -47,7 +48,7 @@
     changed.version = 0;
     changed.tenants[tenant] = TenantConfiguration{tenant, "key-" + tenant, 0, 0, 1};
     const ConfigurationVersion base_version =
-        base->version - std::min<ConfigurationVersion>(base->version, versions_back);
+        base->version - std::min<ConfigurationVersion>(base->version, base_lag);
     cluster[node].table.commit_fault = fault;
     const auto outcome = cluster.apply(cluster[node], format_configuration(changed), base_version);
     cluster[node].table.commit_fault = CommitFault::kNone;
@@ -63,13 +64,13 @@
   void restart(size_t node) {
     check_order(node);
     cluster.restart(node, knobs);
-    floors[node] = store_disturbed ? 0 : oracle.highest();
+    min_versions[node] = store_faulted ? 0 : oracle.highest();
   }
 
-  // From now on a node may have learned from its peers alone.
-  void disturb_store() {
-    store_disturbed = true;
-    floors.fill(0);
+  // From now on nodes may learn from their peers alone.
+  void mark_store_faulted() {
+    store_faulted = true;
+    min_versions.fill(0);
   }
 
   void check_order(size_t node) {
@@ -77,7 +78,7 @@
     RC_ASSERT(std::is_sorted(versions.begin(), versions.end()));
   }
 
-  // Every configuration in force is one that the oracle can explain.
+  // Checks that every active configuration is consistent with the oracle.
   void check() {
     for (size_t node = 0; node < kNodes; ++node) {
       check_order(node);
@@ -85,7 +86,7 @@
       if (current == nullptr) {
         continue;
       }
-      RC_ASSERT(current->version >= floors[node]);
+      RC_ASSERT(current->version >= min_versions[node]);
       const std::set<std::string> tenants = tenants_of(*current);
       if (const auto known = oracle.accepted.find(current->version);
           known != oracle.accepted.end()) {
@@ -97,8 +98,8 @@
     }
   }
 
-  // After all faults are over, everybody soon applies the same version, the highest there is.
-  void heal_and_check() {
+  // Checks that after all faults are cleared, all nodes apply the same, highest version.
+  void clear_faults_and_check() {
     cluster.set_outage(false);
     for (size_t node = 0; node < kNodes; ++node) {
       cluster[node].side = 0;
@@ -120,12 +121,12 @@
   ConfigurationCluster cluster;
   Oracle oracle;
   uint32_t next_tenant = 0;
-  bool store_disturbed = false;
-  // A node that started beside a working store serves no version below this one.
-  std::array<ConfigurationVersion, kNodes> floors{};
+  bool store_faulted = false;
+  // A node that started while the store was available serves no version below this one.
+  std::array<ConfigurationVersion, kNodes> min_versions{};
 };
 
-// The model of rapidcheck's commands is empty: the oracle learns from the answers.
+// RapidCheck's command model is empty: the oracle is updated from the outcomes.
 struct Model {};
 using Command = rc::state::Command<Model, System>;
 
@@ -133,27 +134,27 @@
   size_t node = *rc::gen::inRange<size_t>(0, kNodes);
   CommitFault fault = *rc::gen::weightedElement<CommitFault>(
       {{4, CommitFault::kNone}, {2, CommitFault::kAnswerLost}, {2, CommitFault::kArrivesLate}});
-  uint32_t versions_back = *rc::gen::weightedElement<uint32_t>({{6, 0}, {1, 1}});
+  uint32_t base_lag = *rc::gen::weightedElement<uint32_t>({{6, 0}, {1, 1}});
   void run(const Model&, System& system) const override {
-    system.apply(node, fault, versions_back);
+    system.apply(node, fault, base_lag);
     system.check();
   }
   void show(std::ostream& stream) const override {
     stream << "Apply(node " << node << ", fault " << static_cast<int>(fault) << ", back "
-           << versions_back << ")";
+           << base_lag << ")";
   }
 };
 
-struct Disturb : Command {
-  enum class Kind { kCutStore, kCutPeers, kDeaf, kHoldReads, kOutage, kRestart };
-  Kind kind = *rc::gen::element(Kind::kCutStore, Kind::kCutPeers, Kind::kDeaf, Kind::kHoldReads,
-                                Kind::kOutage, Kind::kRestart);
+struct InjectFault : Command {
+  enum class Kind { kCutStore, kCutPeers, kDropGossip, kHoldReads, kOutage, kRestart };
+  Kind kind = *rc::gen::element(Kind::kCutStore, Kind::kCutPeers, Kind::kDropGossip,
+                                Kind::kHoldReads, Kind::kOutage, Kind::kRestart);
   size_t node = *rc::gen::inRange<size_t>(0, kNodes);
   bool on = *rc::gen::arbitrary<bool>();
   void run(const Model&, System& system) const override {
     ConfigurationNode& target = system.cluster[node];
     if (kind == Kind::kCutStore || kind == Kind::kHoldReads || kind == Kind::kOutage) {
-      system.disturb_store();
+      system.mark_store_faulted();
     }
     switch (kind) {
       case Kind::kCutStore:
@@ -162,7 +163,7 @@
       case Kind::kCutPeers:
         target.side = on ? static_cast<int>(1 + node) : 0;
         break;
-      case Kind::kDeaf:
+      case Kind::kDropGossip:
         target.hears_gossip = !on;
         break;
       case Kind::kHoldReads:
@@ -182,7 +183,7 @@
     system.check();
   }
   void show(std::ostream& stream) const override {
-    stream << "Disturb(kind " << static_cast<int>(kind) << ", node " << node << ", on " << on
+    stream << "InjectFault(kind " << static_cast<int>(kind) << ", node " << node << ", on " << on
            << ")";
   }
 };
@@ -207,39 +208,39 @@
   }
   system.cluster.run(1000);
   rc::state::check(Model(), system,
-                   rc::state::gen::execOneOfWithArgs<Apply, Apply, Disturb, Wait>());
-  system.heal_and_check();
+                   rc::state::gen::execOneOfWithArgs<Apply, Apply, InjectFault, Wait>());
+  system.clear_faults_and_check();
 }
 
 RC_GTEST_PROP(ConfigurationFuzzTest, AcceptedVersionsStandAndReachEveryNode, ()) { fuzz({}); }
 
-// Each mechanism, switched off, lets the same fuzzing find a fault.
-void expect_found(const ConfigurationKnobs& knobs) {
-  EXPECT_FALSE(rc::check("no fault is found", [&knobs] { fuzz(knobs); }));
+// With a safeguard disabled, the same fuzzing must find a violation.
+void expect_violation_found(const ConfigurationKnobs& knobs) {
+  EXPECT_FALSE(rc::check("no violation is found", [&knobs] { fuzz(knobs); }));
 }
 
 TEST(ConfigurationFuzzTest, FindsLostUpdatesWithoutCompareAndSwap) {
   ConfigurationKnobs knobs;
   knobs.safeguards.compare_and_swap_head = false;
-  expect_found(knobs);
+  expect_violation_found(knobs);
 }
 
 TEST(ConfigurationFuzzTest, FindsReversalsWithoutTheUpwardRule) {
   ConfigurationKnobs knobs;
   knobs.safeguards.versions_only_upwards = false;
-  expect_found(knobs);
+  expect_violation_found(knobs);
 }
 
 TEST(ConfigurationFuzzTest, FindsOldVersionsServedWithoutLearning) {
   ConfigurationKnobs knobs;
   knobs.safeguards.learn_before_serving = false;
-  expect_found(knobs);
+  expect_violation_found(knobs);
 }
 
 TEST(ConfigurationFuzzTest, FindsFalseRefusalsWithoutReadingBack) {
   ConfigurationKnobs knobs;
   knobs.safeguards.read_back_lost_commits = false;
-  expect_found(knobs);
+  expect_violation_found(knobs);
 }
 
 }  // namespace
--- a/tests/configuration/configuration_manager_test.cc
+++ b/tests/configuration/configuration_manager_test.cc
@@ -13,7 +13,7 @@
   return std::string(kFirstText) + "[tenants." + name + "]\napi_key = \"key-" + name + "\"\n";
 }
 
-// Three nodes with version 1 in force.
+// Three nodes on which version 1 is active.
 class ConfigurationManagerTest : public testing::Test {
  protected:
   void start(const ConfigurationKnobs& knobs = {}) {
@@ -55,7 +55,7 @@
 
 TEST_F(ConfigurationManagerTest, ContentComesFromTheStoreWhenNoPeerHasIt) {
   start();
-  cluster_.nodes.clear();  // all machines are replaced
+  cluster_.nodes.clear();  // all nodes are replaced
   ConfigurationNode& fresh = cluster_.add();
   cluster_.run(500);
   EXPECT_EQ(fresh.version(), 1U);
@@ -64,14 +64,14 @@
 
 TEST_F(ConfigurationManagerTest, EqualContentMakesNoNewVersionAndNoConflict) {
   start();
-  // As a resend: its base is the version before.
+  // Like a resent apply: its base is the previous version.
   const auto outcome = cluster_.apply(cluster_[1], kFirstText, 0);
   EXPECT_TRUE(outcome->accepted);
   EXPECT_FALSE(outcome->changed);
   EXPECT_EQ(outcome->version, 1U);
 }
 
-// What an operator reads without keys, changed and applied.
+// A configuration shown without keys is edited and applied.
 TEST_F(ConfigurationManagerTest, KeptKeysAreThoseInForce) {
   start();
   Configuration shown = redacted(*cluster_[0].manager.current());
@@ -93,7 +93,7 @@
   Configuration shown = redacted(*cluster_[0].manager.current());
   shown.version = 0;
   const std::string text = format_configuration(shown);
-  // A node that is behind the base would bring back an older key.
+  // A node with an older version than the base would restore an older key.
   cluster_[2].side = 1;
   cluster_.cut_store(cluster_[2], true);
   ASSERT_TRUE(cluster_.apply(cluster_[0], with_tenant("beta"), 1)->accepted);
@@ -203,8 +203,8 @@
   }
 }
 
-// Holds back the answer of a node's next poll until version 2 is in force, then delivers it.
-void deliver_old_read(ConfigurationCluster& cluster, ConfigurationNode& node) {
+// Delays the response to a node's next poll until version 2 is active.
+void deliver_stale_read(ConfigurationCluster& cluster, ConfigurationNode& node) {
   node.table.hold_reads = true;
   while (node.table.held.empty()) {
     cluster.run(100);
@@ -218,7 +218,7 @@
 
 TEST_F(ConfigurationManagerTest, DelayedReadOfAnOldVersionIsIgnored) {
   start();
-  deliver_old_read(cluster_, cluster_[1]);
+  deliver_stale_read(cluster_, cluster_[1]);
   EXPECT_EQ(cluster_[1].versions, (std::vector<ConfigurationVersion>{0, 1, 2}));
 }
 
@@ -226,7 +226,7 @@
   ConfigurationKnobs knobs;
   knobs.safeguards.versions_only_upwards = false;
   start(knobs);
-  deliver_old_read(cluster_, cluster_[1]);
+  deliver_stale_read(cluster_, cluster_[1]);
   const auto& versions = cluster_[1].versions;
   EXPECT_FALSE(std::is_sorted(versions.begin(), versions.end()));
 }
@@ -249,7 +249,7 @@
   ASSERT_FALSE(outcome);
   EXPECT_EQ(outcome.error().ran, Ran::kNo);
   cluster_.run(30'000);
-  EXPECT_EQ(cluster_[0].version(), 2U) << "though it said that nothing has changed";
+  EXPECT_EQ(cluster_[0].version(), 2U) << "although it reported that nothing has changed";
 }
 
 TEST_F(ConfigurationManagerTest, CommitThatArrivesLateIsAppliedOnce) {
@@ -294,26 +294,26 @@
   cluster_.run(120'000);
   for (const auto& node : cluster_.nodes) {
     EXPECT_EQ(node->version(), 1U);
-    EXPECT_TRUE(node->manager.ready()) << "an outage alone takes no node out of rotation";
+    EXPECT_TRUE(node->manager.ready()) << "a store outage alone makes no node unready";
   }
 }
 
 TEST_F(ConfigurationManagerTest, CutOffNodeServesOnButLeavesTheRotationUntilItHeals) {
   start();
-  ConfigurationNode& lonely = cluster_[2];
-  lonely.side = 1;
-  cluster_.cut_store(lonely, true);
+  ConfigurationNode& isolated = cluster_[2];
+  isolated.side = 1;
+  cluster_.cut_store(isolated, true);
   ASSERT_TRUE(cluster_.apply(cluster_[0], with_tenant("beta"), 1)->accepted);
   cluster_.run(10'000);
-  EXPECT_TRUE(lonely.manager.ready());
+  EXPECT_TRUE(isolated.manager.ready());
   cluster_.run(10'000);
-  EXPECT_EQ(lonely.version(), 1U);
-  EXPECT_FALSE(lonely.manager.ready());
-  lonely.side = 0;
+  EXPECT_EQ(isolated.version(), 1U);
+  EXPECT_FALSE(isolated.manager.ready());
+  isolated.side = 0;
   cluster_.run(7000);
-  EXPECT_EQ(lonely.version(), 2U) << "peers suffice, the store is still cut";
-  EXPECT_TRUE(lonely.manager.ready());
-  EXPECT_EQ(lonely.versions, (std::vector<ConfigurationVersion>{0, 1, 2}));
+  EXPECT_EQ(isolated.version(), 2U) << "peers suffice, the store is still unreachable";
+  EXPECT_TRUE(isolated.manager.ready());
+  EXPECT_EQ(isolated.versions, (std::vector<ConfigurationVersion>{0, 1, 2}));
 }
 
 TEST_F(ConfigurationManagerTest, NodeThatMissedTheGossipCatchesUpByExchange) {
@@ -367,21 +367,21 @@
   ConfigurationKnobs knobs;
   knobs.exchange_interval = std::chrono::hours(1);
   start(knobs);
-  ConfigurationNode& asked = cluster_[0];
-  ConfigurationStatusCollector collector(asked.manager, asked.dependencies, asked);
+  ConfigurationNode& queried = cluster_[0];
+  ConfigurationStatusCollector collector(queried.manager, queried.dependencies, queried);
   cluster_[2].hears_gossip = false;
-  ASSERT_TRUE(cluster_.apply(asked, with_tenant("beta"), 1)->accepted);
+  ASSERT_TRUE(cluster_.apply(queried, with_tenant("beta"), 1)->accepted);
   cluster_.run(500);
   ConfigurationStatus status;
   const auto collect = [&] {
-    const int before = asked.calls[kConfigurationHeadMethod];
+    const int before = queried.calls[kConfigurationHeadMethod];
     collector.collect(2, [&](ConfigurationStatus found) { status = std::move(found); });
     cluster_.run(100);
-    return asked.calls[kConfigurationHeadMethod] - before;
+    return queried.calls[kConfigurationHeadMethod] - before;
   };
   EXPECT_EQ(collect(), 2);
   EXPECT_EQ(status.lagging, std::vector<std::string>{"node-2"});
-  // The question itself told the laggard of the new head.
+  // The status request itself informed the lagging node of the new head.
   EXPECT_EQ(collect(), 1);
   EXPECT_TRUE(status.in_force_everywhere());
 }
--- a/tests/configuration/configuration_retention_test.cc
+++ b/tests/configuration/configuration_retention_test.cc
@@ -1,4 +1,4 @@
-// The removal of old versions against applies and faults, in virtual time.
+// Removal of old versions during applies and faults, in virtual time.
 #include "src/configuration/configuration_retention.h"
 
 #include <gtest/gtest.h>
@@ -13,10 +13,10 @@
 
 using std::chrono::minutes;
 
-// Its next removal is reported as failed and arrives `late` afterwards.
-class LateObjects : public ObjectStore {
+// Reports the next removal as failed and executes it after `removal_delay`.
+class DelayedRemovalStore : public ObjectStore {
  public:
-  LateObjects(ObjectStore& inner, VirtualDispatcher& dispatcher)
+  DelayedRemovalStore(ObjectStore& inner, VirtualDispatcher& dispatcher)
       : inner_(inner), dispatcher_(dispatcher) {}
   void put(std::string name, std::shared_ptr<const std::string> content,
            Callback<std::monostate> callback) override {
@@ -26,9 +26,9 @@
     inner_.get(std::move(name), std::move(callback));
   }
   void remove(std::string name, Callback<std::monostate> callback) override {
-    if (late != Duration{0}) {
-      late_name = name;
-      dispatcher_.schedule(std::exchange(late, Duration{0}), [this, name] {
+    if (removal_delay != Duration{0}) {
+      delayed_object = name;
+      dispatcher_.schedule(std::exchange(removal_delay, Duration{0}), [this, name] {
         inner_.remove(name, [](const Expected<std::monostate>&) {});
       });
       dispatcher_.post([callback] {
@@ -39,8 +39,8 @@
     inner_.remove(std::move(name), std::move(callback));
   }
 
-  Duration late{0};
-  std::string late_name;
+  Duration removal_delay{0};
+  std::string delayed_object;
 
  private:
   ObjectStore& inner_;
@@ -67,19 +67,20 @@
     retention.start();
   }
 
-  LateObjects objects;
+  DelayedRemovalStore objects;
   NodeDependencies dependencies;
   ConfigurationRetention retention;
 };
 
-// Built by a stream: GCC 12 sees false overruns in chains of operator+.
+// Uses a stream because chains of operator+ cause false overrun warnings in GCC 12.
 std::string text_with(const std::string& tenant) {
   std::ostringstream text;
   text << kFirstText << "[tenants." << tenant << "]\napi_key = \"key-" << tenant << "\"\n";
   return text.str();
 }
 
-// Versions 1 to 6; only the newest two are kept, and "beta" of version 2 is in none of them.
+// Starts with versions 1 to 6, of which only the newest two are retained; neither contains "beta"
+// of version 2.
 class ConfigurationRetentionTest : public testing::Test {
  protected:
   void start(ConfigurationKnobs knobs = {}) {
@@ -96,8 +97,8 @@
       ASSERT_TRUE(cluster_.apply(cluster_[0], texts[index], index)->accepted);
     }
   }
-  // Runs until the first removal has happened, so that the fence is up.
-  void run_into_removal() {
+  // Runs until the first object has been removed, so that the fence is set.
+  void run_until_removal() {
     const size_t objects = cluster_.platform.objects().size();
     for (int turn = 0; turn < 40 * 60'000 && cluster_.platform.objects().size() == objects;
          ++turn) {
@@ -105,22 +106,22 @@
     }
     ASSERT_LT(cluster_.platform.objects().size(), objects);
   }
-  // @return whether a cluster that knows nothing can put the newest version in force.
-  bool store_is_whole(ConfigurationVersion newest) {
+  // @return whether a new cluster can load the newest version from the store.
+  bool store_is_complete(ConfigurationVersion newest) {
     retaining_.clear();
     cluster_.nodes.clear();
     ConfigurationNode& fresh = cluster_.add();
     cluster_.run(30'000);
     return fresh.version() == newest;
   }
-  // An apply of version 2's text that is paused after it has written its objects, until the round
-  // is over. @return whether it was accepted.
-  bool apply_over_round(const ConfigurationKnobs& knobs) {
+  // Applies version 2's text and pauses the apply after it has written its objects, until the
+  // retention round has ended. @return whether it was accepted.
+  bool apply_paused_during_round(const ConfigurationKnobs& knobs) {
     start(knobs);
     cluster_.clock.run_for(minutes(29));
     std::optional<Expected<ApplyOutcome>> outcome;
     const uint64_t served = cluster_.platform.object_service().counters.served;
-    // Not the node that does the rounds.
+    // Not the node that runs the retention rounds.
     const auto owner = rendezvous_owner("configuration/retention", cluster_[0].members());
     ConfigurationNode& applying = cluster_[owner == "node-0" ? 1 : 0];
     applying.manager.apply(apply_request(text_with("beta"), 6),
@@ -145,7 +146,8 @@
   start();
   const size_t before = cluster_.platform.objects().size();
   cluster_.clock.run_for(minutes(60));
-  // Four manifests and the blocks of beta, gamma and delta; version 1's manifest is version 5's.
+  // Removes four manifests and the blocks of beta, gamma and delta; versions 1 and 5 share a
+  // manifest.
   EXPECT_EQ(cluster_.platform.objects().size(), before - 6);
   std::vector<ConfigurationVersion> kept;
   cluster_[0].manager.history(10, [&](const Expected<std::vector<ConfigurationHead>>& heads) {
@@ -156,50 +158,51 @@
   cluster_.run(100);
   EXPECT_EQ(kept, (std::vector<ConfigurationVersion>{6, 5}));
   ASSERT_TRUE(cluster_.apply(cluster_[1], text_with("beta"), 6)->accepted);
-  EXPECT_TRUE(store_is_whole(7));
+  EXPECT_TRUE(store_is_complete(7));
 }
 
 TEST_F(ConfigurationRetentionTest, AnApplyThatNeedsWhatIsBeingRemovedIsRefused) {
   start();
-  run_into_removal();
+  run_until_removal();
   const auto refused = cluster_.apply(cluster_[1], text_with("beta"), 6);
   ASSERT_FALSE(refused);
   EXPECT_EQ(refused.error().ran, Ran::kNo);
   EXPECT_TRUE(refused.error().retry_after);
-  EXPECT_TRUE(cluster_.apply(cluster_[1], text_with("eta"), 6)->accepted) << "others go on";
+  EXPECT_TRUE(cluster_.apply(cluster_[1], text_with("eta"), 6)->accepted)
+      << "unaffected applies succeed";
   cluster_.clock.run_for(minutes(20));
   EXPECT_TRUE(cluster_.apply(cluster_[1], text_with("beta"), 7)->accepted);
-  EXPECT_TRUE(store_is_whole(8));
+  EXPECT_TRUE(store_is_complete(8));
 }
 
 TEST_F(ConfigurationRetentionTest, AnApplyPausedOverARoundWritesItsContentAnew) {
-  EXPECT_TRUE(apply_over_round({}));
-  EXPECT_TRUE(store_is_whole(7));
+  EXPECT_TRUE(apply_paused_during_round({}));
+  EXPECT_TRUE(store_is_complete(7));
 }
 
 TEST_F(ConfigurationRetentionTest, WithoutTheFenceAnAcceptedVersionLosesItsContent) {
   ConfigurationKnobs knobs;
   knobs.safeguards.fence_removed_content = false;
-  EXPECT_TRUE(apply_over_round(knobs));
-  EXPECT_FALSE(store_is_whole(7));
+  EXPECT_TRUE(apply_paused_during_round(knobs));
+  EXPECT_FALSE(store_is_complete(7));
 }
 
-// A removal whose answer was lost arrives nine minutes later. Meanwhile the next round repeats it,
-// and an operator goes on trying to apply what it removes.
+// A removal whose response was lost is executed nine minutes later. In the meantime the next round
+// repeats it, and an operator keeps applying the content that it removes.
 class LateRemovalTest : public ConfigurationRetentionTest {
  protected:
-  // @return whether the object that was written anew is there in the end.
+  // @return whether the object that was written again still exists at the end.
   bool object_survives(Duration grace) {
     ConfigurationKnobs knobs;
     knobs.removal_grace = grace;
     knobs.retention_interval = minutes(2);
     start(knobs);
     for (const auto& node : retaining_) {
-      node->objects.late = minutes(9);
+      node->objects.removal_delay = minutes(9);
     }
     cluster_.clock.run_for(minutes(5));
-    const auto& first = retaining_[0]->objects.late_name;
-    const std::string name = first.empty() ? retaining_[1]->objects.late_name : first;
+    const auto& first = retaining_[0]->objects.delayed_object;
+    const std::string name = first.empty() ? retaining_[1]->objects.delayed_object : first;
     EXPECT_FALSE(name.empty());
     EXPECT_FALSE(cluster_.platform.objects().contains(name));
     ConfigurationVersion newest = 6;
--- a/tests/configuration/configuration_text_test.cc
+++ b/tests/configuration/configuration_text_test.cc
@@ -71,7 +71,7 @@
 
 struct Mistake {
   std::string text;
-  std::string message;  // its beginning
+  std::string message;  // expected prefix
 };
 
 class ConfigurationMistakeTest : public testing::TestWithParam<Mistake> {};
@@ -106,9 +106,10 @@
                 "services.b.models: \"m\" is already offered by services.a"},
         Mistake{"[tenants.a]\napi_key = \"k\"\n[tenants.b]\napi_key = \"k\"\n",
                 "tenants.b.api_key is the same as that of tenants.a"},
-        Mistake{"[tenants.a]\napi_key = 5\n", "fleet.toml:2: tenants.a.api_key must be a text"},
-        Mistake{"[policies.p]\nfile = \"none.lua\"\n",
-                "fleet.toml:2: policies.p.file names \"none.lua\", which was not sent along"},
+        Mistake{"[tenants.a]\napi_key = 5\n", "fleet.toml:2: tenants.a.api_key must be a string"},
+        Mistake{
+            "[policies.p]\nfile = \"none.lua\"\n",
+            "fleet.toml:2: policies.p.file names \"none.lua\", which is not part of the request"},
         Mistake{"[policies.p]\nfile = \"rush.lua\"\nsource = \"x\"\n",
                 "fleet.toml:1: policies.p needs exactly one of source and file"},
         Mistake{"[policies.p]\nfile = \"rush.lua\"\n[[policies.p.samples]]\n"
--- a/tests/configuration/toml_round_trip_test.cc
+++ b/tests/configuration/toml_round_trip_test.cc
@@ -1,4 +1,4 @@
-// Property: what is written reads back as the same, whatever characters operators use.
+// Property: written configurations parse as the same values for arbitrary characters.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -8,8 +8,8 @@
 namespace chalkshed {
 namespace {
 
-// Texts rich in what TOML treats in a special way.
-rc::Gen<std::string> special_text() {
+// Texts with many characters that are special in TOML.
+rc::Gen<std::string> text_with_special_characters() {
   return rc::gen::map(
       rc::gen::container<std::vector<std::string>>(rc::gen::elementOf(std::vector<std::string>{
           "a",  "Z",      " ",        "\n",           "\r\n", "\t",   "'",   "''", "'''",
@@ -24,16 +24,16 @@
       });
 }
 
-double any_number(double most) {
-  return most * *rc::gen::inRange<int64_t>(0, 1'000'000'001) / 1'000'000'000.0;
+double any_number(double maximum) {
+  return maximum * *rc::gen::inRange<int64_t>(0, 1'000'000'001) / 1'000'000'000.0;
 }
 
 Configuration any_configuration() {
   Configuration configuration;
-  PolicyConfiguration policy{"p.1", "--" + *special_text(), {}};
+  PolicyConfiguration policy{"p.1", "--" + *text_with_special_characters(), {}};
   PolicySample sample;
-  sample.name = *special_text();
-  sample.request.path = *special_text();
+  sample.name = *text_with_special_characters();
+  sample.request.path = *text_with_special_characters();
   sample.request.prompt_tokens = *rc::gen::inRange(0U, 1000U);
   sample.request.batch = *rc::gen::arbitrary<bool>();
   sample.expect.batch_fill = any_number(1);
@@ -42,7 +42,7 @@
   configuration.policies[policy.name] = policy;
   ServiceConfiguration service;
   service.name = "s";
-  service.models = {"m" + *special_text()};
+  service.models = {"m" + *text_with_special_characters()};
   service.policy = policy.name;
   service.retry_budget_fraction = any_number(1);
   service.request_deadline = Duration(*rc::gen::inRange<int64_t>(1000, 86'400'000'000));
@@ -50,7 +50,7 @@
   for (const char* name : {"t-1", "t.2", "T_3"}) {
     TenantConfiguration tenant;
     tenant.name = name;
-    tenant.api_key = name + *special_text();
+    tenant.api_key = name + *text_with_special_characters();
     tenant.request_burst = any_number(1e9);
     configuration.tenants[name] = tenant;
   }
