--- a/include/chalkshed/batch_room.h
+++ b/include/chalkshed/batch_room.h
@@ -2,12 +2,13 @@
 #define CHALKSHED_BATCH_ROOM_H
 
 /** \file
- * How many places of a service batch work may take, and when it gives places back.
+ * Decides how many slots of a service batch work may use, and when it must give slots back.
  *
- * An online request must find a free place at once. A batch run can be stopped at any moment and
- * goes on later behind its last event, so that it is cheap to take back. Batch therefore keeps free
- * only what online requests may take before nodes have heard of them and have stopped runs. This is
- * measured, not set: how far the online requests have grown at most within such a time of late.
+ * An online request must find a free slot at once. A batch run can be preempted at any time and
+ * resumes later after its last event, so preemption is cheap. Batch work therefore leaves free only
+ * as many slots as online requests may take before the nodes learn of them and stop batch runs.
+ * This headroom is measured, not configured: it is the largest recent growth of the online requests
+ * within that reaction time.
  */
 
 #include <cstdint>
@@ -18,55 +19,56 @@
 namespace chalkshed {
 
 struct batch_room_knobs {
-    /** From the first request of a burst until all nodes have stopped runs for it. */
+    /** Time from the first request of a burst until all nodes have stopped batch runs for it. */
     Duration reaction = std::chrono::milliseconds(150);
-    /** Growth is remembered this long. */
+    /** How long growth is remembered. */
     Duration memory = std::chrono::seconds(12);
-    /** Multiples of the headroom that must be free before a run starts, before one starts that
-     * must start soon to be in time, and below which runs are stopped. Measured: with 1, 0.75 and
-     * 0.5 batch lost more than online gained. */
+    /** Multiples of the headroom: a run starts only if more than `start` of it is free, or more
+     * than `start_urgent` if it must start soon to meet its deadline; runs are stopped if less than
+     * `stop` of it is free. With 1, 0.75 and 0.5, batch work lost more than online requests gained.
+     */
     double start = 0.6;
     double start_urgent = 0.4;
-    /** Before a run starts that can't be in time any more: what other nodes have to run may still
-     * be. */
+    /** The same for a run that can no longer meet its deadline: it leaves slots to runs of other
+     * nodes that still can. */
     double start_late = 1.0;
-    double yield = 0.25;
-    /** While online requests grow, what they will take until the slots that are given back now are
-     * free is given back too: this share of what they have grown by within the reaction. Without
-     * it, a burst that takes all places runs ahead of the yielding: at 534 places and 700 new
-     * requests a second 10 were free for a second, and one stream in eight waited at a full worker.
-     */
-    double ahead = 0.7;
-    /** Bounds of the headroom, as shares of all places. */
-    double least = 0.04;
-    double most = 0.5;
-    /** For so long a node that has just started receives the loads of its peers, one peer after
-     * the other; that is no burst. */
-    Duration first_hearing = std::chrono::seconds(1);
-    /** A node that has just started knows no burst: for as long as growth is remembered, its
-     * headroom is at least this share. */
-    double unknown = 0.3;
+    double stop = 0.25;
+    /** While online requests grow, this share of their growth within the reaction time is added to
+     * the slots kept free, because they keep growing until the stopped runs have freed their slots.
+     * Without it, a burst that takes all slots outpaces the preemption: with 534 slots and 700 new
+     * requests per second, only 10 slots were free for a second, and one stream in eight waited at
+     * a full worker. */
+    double growth_lookahead = 0.7;
+    /** Bounds of the headroom, as shares of all slots. */
+    double min_share = 0.04;
+    double max_share = 0.5;
+    /** For this long after its start, a node receives the current loads of its peers one by one.
+     * That growth is not counted as a burst. */
+    Duration initial_sync = std::chrono::seconds(1);
+    /** A node that has just started has no history of bursts: until it has run for as long as
+     * growth is remembered, its headroom is at least this share of all slots. */
+    double initial_share = 0.3;
 };
 
-/** How soon a batch run must start. */
+/** How soon a batch run must start to meet its deadline. */
 enum class batch_urgency {
-    /** It can't be in time any more. */
+    /** It can no longer meet its deadline. */
     kLate,
     kNormal,
-    /** It must start soon to be in time. */
+    /** It must start soon to meet its deadline. */
     kUrgent,
 };
 
-/** The places of a service, as far as this node knows. */
+/** The slots of a service, as seen by this node. */
 struct service_load {
-    uint32_t places = 0;
+    uint32_t slots = 0;
     uint32_t free = 0;
     uint32_t batch = 0;
-    /** Batch runs of this node among them. */
+    /** The part of `batch` that belongs to this node. */
     uint32_t own_batch = 0;
 
     service_load &operator+=(const service_load &more) {
-        places += more.places;
+        slots += more.slots;
         free += more.free;
         batch += more.batch;
         own_batch += more.own_batch;
@@ -78,20 +80,20 @@
 public:
     explicit batch_room(MonotonicTime started, const batch_room_knobs &knobs = {});
 
-    /** The online requests of all nodes in flight at the service. */
+    /** \param in_flight The online requests in flight at the service, of all nodes. */
     void observe_online(uint32_t in_flight, MonotonicTime now);
 
-    /** Whether a batch run may take a place now. */
+    /** Whether a batch run may take a slot now. */
     bool may_start(const service_load &load, batch_urgency urgency, MonotonicTime now);
 
-    /** How many runs of this node should stop now, in the mean: each node stops its share of what
-     * is missing, so that together they stop no more than that. */
+    /** The expected number of runs that this node should stop now. Each node stops its share of the
+     * missing slots, so that all nodes together stop no more than necessary. */
     double runs_to_stop(const service_load &load, MonotonicTime now);
 
 private:
-    double multiple_of(batch_urgency urgency) const;
-    /** What online requests that grow now will take soon. */
-    double growing(MonotonicTime now);
+    double headroom_multiple(batch_urgency urgency) const;
+    /** The slots that online requests are about to take if their current growth goes on. */
+    double expected_growth(MonotonicTime now);
     double headroom(const service_load &load, MonotonicTime now);
 
     batch_room_knobs knobs_;
--- a/include/chalkshed/fair_order.h
+++ b/include/chalkshed/fair_order.h
@@ -2,12 +2,13 @@
 #define CHALKSHED_FAIR_ORDER_H
 
 /** \file
- * In which order the requests of tenants that wait for places get them.
+ * Fair order among the tenants whose requests wait for slots.
  *
- * Start-time fair queueing: each request starts, in virtual time, when the one before of its tenant
- * has ended, or now; the one that starts first is next. A tenant that sends many times its usual
- * waits behind itself, and one that sends little never waits behind what others have sent before
- * it. Deficit round robin was weighed: it needs a queue a tenant and a visit of each, where few
+ * Start-time fair queueing: the virtual start time of a request is the virtual end of the tenant's
+ * previous request, or the current virtual time if that is later; the request with the earliest
+ * start is served next. A tenant that sends far more than usual only delays its own requests, and a
+ * tenant that sends little does not wait for the backlog of others. Deficit round robin was
+ * considered; it needs a queue for each tenant and a visit to each queue, although few requests
  * wait. */
 
 #include <algorithm>
@@ -18,7 +19,7 @@
 
 class fair_order {
 public:
-    /** A request of the tenant has arrived. \return When it starts, in virtual time. */
+    /** Registers a request of the tenant. \return Its virtual start time. */
     double enter(const std::string &tenant) {
         if (ends_.size() > kMostTenants) {
             std::erase_if(ends_, [this](const auto &entry) { return entry.second <= now_; });
@@ -28,13 +29,13 @@
         end = start + 1;
         return start;
     }
-    /** The request that starts then has got its place. */
+    /** Advances the virtual time when the request with this start time has got its slot. */
     void serve(double start) {
         now_ = std::max(now_, start);
     }
 
 private:
-    /** Beyond this number, tenants that are not ahead of the others are forgotten. */
+    /** Above this number, tenants without a backlog in virtual time are removed. */
     static constexpr size_t kMostTenants = 1000;
     double now_ = 0;
     std::unordered_map<std::string, double> ends_;
--- a/include/chalkshed/recent_growth.h
+++ b/include/chalkshed/recent_growth.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_RECENT_GROWTH_H
 
 /** \file
- * By how much a quantity has grown at most within a short time, over the last seconds: how high the
- * first moments of a burst are, whatever level it then reaches.
+ * The largest growth of a quantity within a short window, over the last seconds. It measures the
+ * onset of bursts, independent of the level that they reach.
  */
 
 #include <array>
@@ -17,14 +17,14 @@
 
 class recent_growth {
 public:
-    /** \param window The time within which growth counts, to a sixth.
-     * \param span How long it is remembered. */
+    /** \param window The window in which growth is measured, with a resolution of a sixth.
+     * \param span How long the largest growth is remembered. */
     recent_growth(Duration window, Duration span);
 
     void observe(uint32_t value, MonotonicTime now);
-    /** Takes a new level without counting it as growth. */
+    /** Sets a new level without counting it as growth. */
     void set_level(uint32_t value, MonotonicTime now);
-    /** The largest growth that is remembered. */
+    /** The largest growth over the span. */
     uint32_t value(MonotonicTime now);
     /** The growth within the window that ends now. */
     uint32_t current(MonotonicTime now);
@@ -34,7 +34,7 @@
 
     static constexpr size_t kSteps = 6;
     Duration step_;
-    /** The least value of each step of the window, and of the one under way. */
+    /** The minimum in each step of the window, including the current step. */
     std::array<uint32_t, kSteps + 1> least_{};
     int64_t current_ = 0;
     uint32_t last_ = 0;
--- a/include/chalkshed/recent_peak.h
+++ b/include/chalkshed/recent_peak.h
@@ -2,7 +2,7 @@
 #define CHALKSHED_RECENT_PEAK_H
 
 /** \file
- * The largest value seen over the last seconds.
+ * The maximum of a value over a sliding time window.
  */
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 class recent_peak {
 public:
-    /** \param span How long a value is remembered, to a sixteenth. */
+    /** \param span The length of the window, with a resolution of a sixteenth. */
     explicit recent_peak(Duration span) : step_(span / kSteps) {}
 
     void observe(uint32_t value, MonotonicTime now) {
@@ -25,7 +25,7 @@
         peak = std::max(peak, value);
     }
 
-    /** The peak; it is forgotten with time also when nothing is observed any more. */
+    /** The maximum over the window, which expires even without further observations. */
     uint32_t value(MonotonicTime now) {
         advance(now);
         return *std::max_element(peaks_.begin(), peaks_.end());
--- a/src/batch_room/batch_room.cc
+++ b/src/batch_room/batch_room.cc
@@ -8,7 +8,7 @@
     : knobs_(knobs), started_(started), online_growth_(knobs.reaction, knobs.memory) {}
 
 void batch_room::observe_online(uint32_t in_flight, MonotonicTime now) {
-    if (now - started_ < knobs_.first_hearing) {
+    if (now - started_ < knobs_.initial_sync) {
         online_growth_.set_level(in_flight, now);
     } else {
         online_growth_.observe(in_flight, now);
@@ -18,16 +18,16 @@
 double batch_room::headroom(const service_load &load, MonotonicTime now) {
     double wanted = online_growth_.value(now);
     if (now - started_ < knobs_.memory) {
-        wanted = std::max(wanted, knobs_.unknown * load.places);
+        wanted = std::max(wanted, knobs_.initial_share * load.slots);
     }
-    return std::clamp(wanted, knobs_.least * load.places, knobs_.most * load.places);
+    return std::clamp(wanted, knobs_.min_share * load.slots, knobs_.max_share * load.slots);
 }
 
-double batch_room::growing(MonotonicTime now) {
-    return knobs_.ahead * online_growth_.current(now);
+double batch_room::expected_growth(MonotonicTime now) {
+    return knobs_.growth_lookahead * online_growth_.current(now);
 }
 
-double batch_room::multiple_of(batch_urgency urgency) const {
+double batch_room::headroom_multiple(batch_urgency urgency) const {
     switch (urgency) {
     case batch_urgency::kLate:
         return knobs_.start_late;
@@ -40,12 +40,12 @@
 }
 
 bool batch_room::may_start(const service_load &load, batch_urgency urgency, MonotonicTime now) {
-    return load.free >= 1 + multiple_of(urgency) * headroom(load, now) + growing(now);
+    return load.free >= 1 + headroom_multiple(urgency) * headroom(load, now) + expected_growth(now);
 }
 
 double batch_room::runs_to_stop(const service_load &load, MonotonicTime now) {
-    const double wanted =
-        std::min(knobs_.yield * headroom(load, now) + growing(now), knobs_.most * load.places);
+    const double wanted = std::min(knobs_.stop * headroom(load, now) + expected_growth(now),
+                                   knobs_.max_share * load.slots);
     if (load.own_batch == 0 || load.free >= wanted) {
         return 0;
     }
--- a/src/batch_room/recent_growth.cc
+++ b/src/batch_room/recent_growth.cc
@@ -7,7 +7,7 @@
 recent_growth::recent_growth(Duration window, Duration span)
     : step_(window / kSteps), growth_(span) {}
 
-// What was observed last holds on until the next observation.
+// The last observed value is assumed to hold until the next observation.
 void recent_growth::advance(MonotonicTime now) {
     const int64_t step = now.time_since_epoch() / step_;
     if (step - current_ > static_cast<int64_t>(kSteps)) {
--- a/src/serving/event_stream.cc
+++ b/src/serving/event_stream.cc
@@ -6,14 +6,16 @@
 namespace chalkshed {
 namespace {
 
-// Behind the blank line that ends the last event in `text`, searched from `from`; 0 when none ends.
+// @return the offset past the blank line that ends the last complete event in `text`, searching
+// back to `from`; 0 if no event ends there.
 size_t end_of_last_event(std::string_view text, size_t from) {
   size_t end = 0;
-  for (size_t feed = text.rfind('\n'); feed != std::string_view::npos && feed >= from;
-       feed = feed == 0 ? std::string_view::npos : text.rfind('\n', feed - 1)) {
-    const size_t before = feed > 0 && text[feed - 1] == '\r' ? feed - 1 : feed;
+  for (size_t line_feed = text.rfind('\n');
+       line_feed != std::string_view::npos && line_feed >= from;
+       line_feed = line_feed == 0 ? std::string_view::npos : text.rfind('\n', line_feed - 1)) {
+    const size_t before = line_feed > 0 && text[line_feed - 1] == '\r' ? line_feed - 1 : line_feed;
     if (before > 0 && text[before - 1] == '\n') {
-      end = feed + 1;
+      end = line_feed + 1;
       break;
     }
   }
@@ -21,9 +23,9 @@
 }
 
 std::string_view take_line(std::string_view& text) {
-  const size_t feed = text.find('\n');
-  std::string_view line = text.substr(0, feed);
-  text.remove_prefix(feed == std::string_view::npos ? text.size() : feed + 1);
+  const size_t line_feed = text.find('\n');
+  std::string_view line = text.substr(0, line_feed);
+  text.remove_prefix(line_feed == std::string_view::npos ? text.size() : line_feed + 1);
   if (line.ends_with('\r')) {
     line.remove_suffix(1);
   }
@@ -55,9 +57,9 @@
 
 std::string_view EventSplitter::add(std::string_view bytes) {
   buffer_.erase(0, std::exchange(taken_, 0));
-  // An end may begin with what was held before: "\n" and perhaps "\r".
-  constexpr size_t kLongestEnd = 3;
-  const size_t from = buffer_.size() > kLongestEnd ? buffer_.size() - kLongestEnd : 0;
+  // The blank line may be split over two calls: "\n" and perhaps "\r" may already be buffered.
+  constexpr size_t kMaxTerminator = 3;
+  const size_t from = buffer_.size() > kMaxTerminator ? buffer_.size() - kMaxTerminator : 0;
   buffer_.append(bytes);
   taken_ = end_of_last_event(buffer_, from);
   return std::string_view(buffer_).substr(0, taken_);
--- a/src/serving/event_stream.h
+++ b/src/serving/event_stream.h
@@ -1,5 +1,5 @@
-// Server-sent events as they arrive in pieces: hands on whole events only, so that an answer that
-// breaks can go on elsewhere behind the last whole one.
+// Incremental parser of server-sent events. Only complete events are forwarded, so that an
+// interrupted stream can be resumed on another worker after the last complete event.
 #pragma once
 
 #include <cstdint>
@@ -9,27 +9,27 @@
 
 namespace chalkshed {
 
-// Cuts a byte stream at the ends of events (blank lines).
+// Splits a byte stream at event boundaries (blank lines).
 class EventSplitter {
  public:
-  // @return the bytes of all events that have become whole; valid until the next call.
+  // @return the bytes of all events completed by `bytes`; valid until the next call.
   std::string_view add(std::string_view bytes);
-  // Bytes of an event that has begun but not ended.
+  // Whether the buffer holds an incomplete event.
   bool inside_event() const { return taken_ < buffer_.size(); }
 
  private:
   std::string buffer_;
-  size_t taken_ = 0;  // bytes of buffer_ that were returned
+  size_t taken_ = 0;  // bytes of buffer_ already returned to the caller
 };
 
 struct StreamEvent {
   std::optional<uint64_t> id;
-  std::string data;        // its data lines, joined by line feeds
-  std::string_view bytes;  // the whole event, its blank line included
+  std::string data;        // the data lines, joined by line feeds
+  std::string_view bytes;  // the whole event, including the blank line
 };
 
-// Takes the first event off `events`, which hold whole events only.
-// @return the event, or nothing when `events` is empty.
+// Removes the first event from `events`, which holds complete events only.
+// @return the event, or nothing if `events` is empty.
 std::optional<StreamEvent> take_event(std::string_view& events);
 
 }  // namespace chalkshed
--- a/src/serving/prompt_rate.h
+++ b/src/serving/prompt_rate.h
@@ -1,4 +1,4 @@
-// How fast the engines of a service read prompts, measured from the time to first tokens.
+// Estimates the prefill rate of a service's engines from the measured time to first token.
 #pragma once
 
 #include <cstddef>
@@ -9,13 +9,14 @@
 
 namespace chalkshed {
 
-// Keeps the median of the last samples: a prompt that was kept already, or one that had to wait,
-// gives a sample far from the truth.
+// The estimate is the median of the most recent samples, because prompts with a prefix cache hit
+// and prompts that were queued give outliers.
 class PromptRate {
  public:
-  // @param initial tokens a millisecond, until there are enough samples.
+  // @param initial tokens per millisecond, used until there are enough samples.
   explicit PromptRate(double initial) : rate_(initial) {}
-  // A prompt of `tokens` brought its first token after `took`. Short prompts tell nothing.
+  // Records that the first token for a prompt of `tokens` tokens arrived after `took`. Short
+  // prompts are ignored, because they say little about the rate.
   void add_sample(uint32_t tokens, Duration took);
   double tokens_per_millisecond() const { return rate_; }
 
--- a/src/serving/request_relay.cc
+++ b/src/serving/request_relay.cc
@@ -42,7 +42,7 @@
       deadline_(received_ + std::min(route.timeout, request_.time_limit.value_or(route.timeout))),
       last_event_(request_.resume_after),
       deadline_timer_(environment.dispatcher.create_timer([this] { handle_timeout(); })),
-      wait_timer_(environment.dispatcher.create_timer([this] { give_up_waiting(); })),
+      wait_timer_(environment.dispatcher.create_timer([this] { handle_wait_timeout(); })),
       silence_timer_(environment.dispatcher.create_timer([this] { check_silence(); })) {}
 
 Duration RequestRelay::elapsed() const {
@@ -53,10 +53,11 @@
   return deadline_ - environment_.time_source.monotonic_now();
 }
 
-void RequestRelay::start(bool behind_others) {
-  writer_->set_on_closed(lifetime_.guard([this] { finish(RelayEnd::kCallerGone, "caller left"); }));
+void RequestRelay::start(bool queue_first) {
+  writer_->set_on_closed(lifetime_.guard(
+      [this] { finish(RelayEnd::kCallerGone, "the caller closed the connection"); }));
   deadline_timer_->enable(std::max(time_left(), Duration(0)));
-  if (end_if_held()) {
+  if (end_if_quarantined()) {
     return;
   }
   if (environment_.workers.all_evacuated(service_)) {
@@ -64,17 +65,17 @@
            "all workers of service '" + service_ + "' are in evacuated zones");
     return;
   }
-  if (behind_others || !send(false)) {
-    wait_for_place();
+  if (queue_first || !send(false)) {
+    wait_for_slot();
   }
 }
 
-bool RequestRelay::end_if_held() {
+bool RequestRelay::end_if_quarantined() {
   if (!environment_.quarantine.holds(request_.digest)) {
     return false;
   }
   if (runs_ > 0) {
-    break_off("workers ended while they ran this request");
+    fail_after_run("workers crashed while they ran this request");
     return true;
   }
   const Error error = environment_.quarantine.refusal(request_.digest, request_.id);
@@ -83,8 +84,8 @@
   return true;
 }
 
-bool RequestRelay::try_place() {
-  if (!waiting_ || end_if_held() || !send(false)) {
+bool RequestRelay::try_dispatch() {
+  if (!waiting_ || end_if_quarantined() || !send(false)) {
     return false;
   }
   waiting_ = false;
@@ -94,8 +95,8 @@
 
 bool RequestRelay::send(bool even_if_full) {
   const run_permit permit = environment_.quarantine.claim_run(request_.digest, runs_ > 0);
-  waits_for_turn_ = permit == run_permit::kWait;
-  if (waits_for_turn_ || permit == run_permit::kQuarantined) {
+  waits_for_earlier_run_ = permit == run_permit::kWait;
+  if (waits_for_earlier_run_ || permit == run_permit::kQuarantined) {
     return false;
   }
   SlotRequest wanted;
@@ -104,14 +105,14 @@
   wanted.request = &request_;
   wanted.tried = &tried_;
   wanted.even_if_full = even_if_full;
-  // One more run must be left behind the one that it begins.
+  // A retry must remain available after the run that starts here.
   wanted.repeatable = is_repeatable(route_) && runs_ + 1 < route_.attempts;
-  WorkerSlotPtr place = environment_.workers.acquire_slot(wanted);
-  if (!place) {
+  WorkerSlotPtr slot = environment_.workers.acquire_slot(wanted);
+  if (!slot) {
     return false;
   }
-  worker_ = place->worker().record.incarnation;
-  expected_reading_ = environment_.workers.prefill_backlog(place->worker());
+  worker_ = slot->worker().record.incarnation;
+  expected_prefill_ = environment_.workers.prefill_backlog(slot->worker());
   tried_.insert(worker_);
   WorkerSend worker_send;
   worker_send.request = &request_;
@@ -127,45 +128,45 @@
   options.streaming = route_.kind == RouteKind::kStreaming;
   attempt_ = std::make_unique<WorkerAttempt>(
       environment_.time_source, environment_.worker_client, environment_.protocol,
-      environment_.workers, environment_.quarantine, std::move(place), worker_send, options, *this);
+      environment_.workers, environment_.quarantine, std::move(slot), worker_send, options, *this);
   watch_silence();
-  log(LogLevel::kInfo, "request_sent", even_if_full ? "no place was free" : "");
+  log(LogLevel::kInfo, "request_sent", even_if_full ? "no slot was free" : "");
   return true;
 }
 
-Duration RequestRelay::longest_wait() const {
+Duration RequestRelay::max_wait() const {
   return std::chrono::duration_cast<Duration>(route_.target *
-                                              environment_.knobs.longest_wait_of_target);
+                                              environment_.knobs.max_wait_share_of_target);
 }
 
-void RequestRelay::wait_for_place() {
+void RequestRelay::wait_for_slot() {
   waiting_ = true;
-  wait_timer_->enable(std::max(std::min(longest_wait() - elapsed(), time_left()), Duration(0)));
+  wait_timer_->enable(std::max(std::min(max_wait() - elapsed(), time_left()), Duration(0)));
 }
 
-bool RequestRelay::send_or_wait_for_turn() {
+bool RequestRelay::send_or_wait_for_earlier_run() {
   if (send(false) || send(true)) {
     return true;
   }
-  if (waits_for_turn_) {
+  if (waits_for_earlier_run_) {
     waiting_ = true;
-    wait_timer_->enable(std::max(std::min(longest_wait(), time_left()), Duration(0)));
+    wait_timer_->enable(std::max(std::min(max_wait(), time_left()), Duration(0)));
   }
-  return waits_for_turn_;
+  return waits_for_earlier_run_;
 }
 
-// Too long without a free place: stand in the queue of a worker rather than hold on.
-void RequestRelay::give_up_waiting() {
+// No slot became free in time: queue the request at a worker instead of holding it here.
+void RequestRelay::handle_wait_timeout() {
   waiting_ = false;
   if (send(true)) {
     return;
   }
-  const std::string reason = waits_for_turn_
-                                 ? "workers ended under earlier runs of this request, and another "
-                                   "run is under way"
-                                 : "no worker of service '" + service_ + "' takes requests";
+  const std::string reason = waits_for_earlier_run_
+                                 ? "workers crashed during earlier runs of this request, and "
+                                   "another run is in progress"
+                                 : "no worker of service '" + service_ + "' accepts requests";
   if (runs_ > 0) {
-    break_off(reason);
+    fail_after_run(reason);
   } else {
     refuse(ErrorKind::kUnavailable, reason);
   }
@@ -174,7 +175,7 @@
 void RequestRelay::on_stream_begun(const HttpHeaders& headers) {
   last_activity_ = environment_.time_source.monotonic_now();
   if (started_ || ended_) {
-    return;  // a resumed stream keeps the head of the worker it began on
+    return;  // a resumed stream keeps the response head of its first worker
   }
   started_ = true;
   writer_->start(200, environment_.protocol.headers_to_caller(request_, headers));
@@ -192,7 +193,7 @@
       continue;
     }
     if (last_event_ && *event->id <= *last_event_) {
-      // Sent before: whatever stands in front of it in these bytes is old as well.
+      // Already sent to the caller, and so is everything before it in this chunk.
       fresh.remove_prefix(static_cast<size_t>(event->bytes.end() - fresh.begin()));
       continue;
     }
@@ -202,21 +203,22 @@
     return;
   }
   writer_->write(fresh);
-  if (writer_->buffered_bytes() > environment_.knobs.most_buffered_bytes) {
-    cut_off("the caller reads too slowly");
+  if (writer_->buffered_bytes() > environment_.knobs.max_buffered_bytes) {
+    abort_answer("too many unread bytes are buffered for the caller");
   }
 }
 
-Duration RequestRelay::longest_silence() const {
-  const Duration expected = started_ ? route_.longest_pause : route_.target;
-  return std::max(environment_.knobs.repeatable_silence, 2 * expected) + 2 * expected_reading_;
+Duration RequestRelay::max_silence() const {
+  const Duration expected_pause = started_ ? route_.longest_pause : route_.target;
+  return std::max(environment_.knobs.repeatable_silence, 2 * expected_pause) +
+         2 * expected_prefill_;
 }
 
 void RequestRelay::watch_silence() {
   last_activity_ = environment_.time_source.monotonic_now();
-  // One more run must be left behind the one under way.
+  // A retry must remain available after the current run.
   if (is_repeatable(route_) && runs_ + 1 < route_.attempts) {
-    silence_timer_->enable(longest_silence());
+    silence_timer_->enable(max_silence());
   }
 }
 
@@ -225,15 +227,15 @@
   if (ended_ || !attempt_) {
     return;
   }
-  if (silence < longest_silence()) {
-    silence_timer_->enable(longest_silence() - silence);
+  if (silence < max_silence()) {
+    silence_timer_->enable(max_silence() - silence);
     return;
   }
   environment_.workers.note_failure(attempt_->worker(), attempt_->sent());
   environment_.quarantine.note_broken(request_.digest, attempt_->worker(), attempt_->sent(), true);
   attempt_.reset();
   AttemptEnd end;
-  end.reason = "the worker was silent for " + milliseconds_text(silence) + " ms";
+  end.reason = "the worker sent nothing for " + milliseconds_text(silence) + " ms";
   handle_broken(end);
 }
 
@@ -242,7 +244,7 @@
     return;
   }
   silence_timer_->disable();
-  // The attempt must outlive its own callback.
+  // This runs inside a callback of the attempt, which must therefore be destroyed later.
   environment_.dispatcher.post([attempt = std::shared_ptr<WorkerAttempt>(std::move(attempt_))] {});
   switch (end.result) {
     case AttemptResult::kWhole:
@@ -268,15 +270,17 @@
       writer_->finish();
       finish(RelayEnd::kAnswered, "");
     } else {
-      handle_broken(end);  // a resumed run failed; the count above already holds it
+      handle_broken(end);  // a resumed run failed; it is already counted above
     }
     return;
   }
-  // A worker that does not say that it has not run a request may have run it, whatever its status:
-  // the caller would read some of them as a promise, and send again what must run only once.
+  // Unless a worker states that it did not run a request, it may have run it, whatever the status.
+  // Callers take some statuses to mean that nothing ran and would resend a request that must run
+  // at most once.
   if (promises_not_run(end.status)) {
     AttemptEnd own = end;
-    own.reason = "a worker that may have run it answered with status " + std::to_string(end.status);
+    own.reason =
+        "a worker that may have run the request answered with status " + std::to_string(end.status);
     handle_broken(own);
     return;
   }
@@ -297,14 +301,14 @@
 void RequestRelay::handle_not_run(const AttemptEnd& end) {
   ++refusals_;
   log(LogLevel::kInfo, "send_refused", end.reason);
-  const bool more = refusals_ < environment_.knobs.most_refused_sends && time_left() > Duration(0);
-  if (more && send_or_wait_for_turn()) {
+  const bool more = refusals_ < environment_.knobs.max_refused_sends && time_left() > Duration(0);
+  if (more && send_or_wait_for_earlier_run()) {
     return;
   }
   if (runs_ > 0) {
-    break_off("a worker broke off and no other takes the request");
+    fail_after_run("a worker failed during the request and no other worker accepts it");
   } else {
-    refuse(ErrorKind::kOverloaded, "no worker takes the request: " + end.reason);
+    refuse(ErrorKind::kOverloaded, "no worker accepts the request: " + end.reason);
   }
 }
 
@@ -314,16 +318,16 @@
   }
   if (may_send_again()) {
     log(LogLevel::kInfo, started_ ? "stream_resumed" : "request_sent_again", end.reason);
-    if (send_or_wait_for_turn()) {
+    if (send_or_wait_for_earlier_run()) {
       return;
     }
   }
-  break_off(end.reason);
+  fail_after_run(end.reason);
 }
 
 void RequestRelay::handle_timeout() {
   if (started_) {
-    cut_off("the time of the request is over");
+    abort_answer("the deadline of the request has passed");
     return;
   }
   const bool sent = attempt_ != nullptr || runs_ > 0;
@@ -333,14 +337,14 @@
   }
   attempt_.reset();
   if (sent) {
-    fail(ErrorKind::kDeadlineExceeded, "no answer within the time of the request");
+    fail(ErrorKind::kDeadlineExceeded, "no answer before the deadline of the request");
   } else {
-    refuse(ErrorKind::kOverloaded, "no place at a worker within the time of the request");
+    refuse(ErrorKind::kOverloaded, "no worker slot became free before the deadline of the request");
   }
 }
 
 void RequestRelay::refuse(ErrorKind kind, const std::string& message) {
-  Error error = not_run(kind, message, "send it again after the time given");
+  Error error = not_run(kind, message, "retry after the given delay");
   error.retry_after = environment_.knobs.retry_after;
   writer_->respond(environment_.protocol.refusal(request_.id, error));
   finish(RelayEnd::kRefused, message);
@@ -348,20 +352,20 @@
 
 void RequestRelay::fail(ErrorKind kind, const std::string& message) {
   const Error error =
-      maybe_run(kind, message, "the request may have run; send it again if that is harmless");
+      maybe_run(kind, message, "the request may have run; retry it only if it is idempotent");
   writer_->respond(environment_.protocol.refusal(request_.id, error));
   finish(RelayEnd::kFailed, message);
 }
 
-void RequestRelay::break_off(const std::string& reason) {
+void RequestRelay::fail_after_run(const std::string& reason) {
   if (started_) {
-    cut_off(reason);
+    abort_answer(reason);
   } else {
     fail(ErrorKind::kUpstreamFailed, reason);
   }
 }
 
-void RequestRelay::cut_off(const std::string& reason) {
+void RequestRelay::abort_answer(const std::string& reason) {
   writer_->abort();
   finish(RelayEnd::kBroken, reason);
 }
--- a/src/serving/request_relay.h
+++ b/src/serving/request_relay.h
@@ -1,6 +1,7 @@
-// One caller's request from its admission to the end of its answer: sends it to a worker, hands the
-// answer on byte for byte, tries elsewhere where the route allows it, and resumes a broken stream
-// behind its last whole event. Ends visibly broken where it cannot go on.
+// Handles one caller's request from admission to the end of the answer: sends it to a worker,
+// forwards the answer byte for byte, retries on another worker where the route allows it, and
+// resumes an interrupted stream after its last complete event. An answer that cannot be completed
+// is aborted, so that the caller sees that it is incomplete.
 #pragma once
 
 #include <functional>
@@ -16,10 +17,10 @@
 namespace chalkshed {
 
 enum class RelayEnd {
-  kAnswered,  // a worker's whole answer was handed on
+  kAnswered,  // a worker's complete answer was forwarded
   kRefused,   // not run, and the caller was told so
-  kFailed,    // may have run; the caller was told an error
-  kBroken,    // the answer had begun and was cut off visibly
+  kFailed,    // may have run; the caller got an error response
+  kBroken,    // the answer had started and was aborted
   kCallerGone,
 };
 
@@ -28,31 +29,31 @@
 
 class RequestRelay : public AttemptObserver {
  public:
-  // Called once, when the answer has ended. The relay must not be destroyed inside.
+  // Called once, when the answer has ended. The callback must not destroy the relay.
   using OnEnd = std::function<void(RelayEnd)>;
 
   // @param table keeps `route` alive.
-  // @param service the service that answers, drawn from the route's.
+  // @param service the service that answers, one of the route's.
   RequestRelay(ServingEnvironment& environment, RouteTablePtr table, const Route& route,
                std::string service, ServingRequest request, ResponseWriterPtr writer, OnEnd on_end);
   ~RequestRelay() override = default;
   RequestRelay(const RequestRelay&) = delete;
   RequestRelay& operator=(const RequestRelay&) = delete;
 
-  // Begins; the request may have ended when this returns.
-  // @param behind_others it waits although there may be a place: others wait longer for one.
-  void start(bool behind_others = false);
+  // Starts the request, which may have ended when this returns.
+  // @param queue_first wait even if a slot is free, because other requests have waited longer.
+  void start(bool queue_first = false);
   // Whether it waits to be sent to a worker.
   bool waiting() const { return waiting_; }
-  // Whether it waits because there is no free place; the others wait until it is known what became
-  // of an earlier run of the same content.
-  bool short_of_place() const { return waiting_ && !waits_for_turn_; }
+  // Whether it waits for a free slot. Other waiting requests wait for the outcome of an earlier run
+  // of the same content.
+  bool waits_for_slot() const { return waiting_ && !waits_for_earlier_run_; }
   uint32_t priority() const { return request_.priority.value_or(route_.priority); }
   const std::string& service() const { return service_; }
-  // Whether a worker may have begun to work on it.
+  // Whether a worker may have started it.
   bool may_have_run() const { return runs_ > 0 || reached_worker_; }
-  // A place may have become free. @return whether the request was sent.
-  bool try_place();
+  // Called when a slot may have become free. @return whether the request was sent.
+  bool try_dispatch();
 
  private:
   void on_stream_begun(const HttpHeaders& headers) override;
@@ -60,26 +61,26 @@
   void on_attempt_ended(const AttemptEnd& end) override;
 
   bool send(bool even_if_full);
-  // @return false where neither is possible: nobody takes it, or it is held.
-  bool send_or_wait_for_turn();
-  // Ends a request that ends its workers. @return whether it has.
-  bool end_if_held();
+  // @return false if neither is possible: no worker accepts it, or its content is quarantined.
+  bool send_or_wait_for_earlier_run();
+  // Ends the request if its content is quarantined for crashing workers. @return whether it did.
+  bool end_if_quarantined();
   void handle_not_run(const AttemptEnd& end);
   void handle_broken(const AttemptEnd& end);
   void handle_whole(const AttemptEnd& end);
-  void wait_for_place();
-  Duration longest_wait() const;
-  void give_up_waiting();
+  void wait_for_slot();
+  Duration max_wait() const;
+  void handle_wait_timeout();
   void handle_timeout();
-  // The worker has been silent: a repeatable request goes elsewhere.
+  // Starts the timer after which a repeatable request leaves a silent worker for another one.
   void watch_silence();
   void check_silence();
-  Duration longest_silence() const;
+  Duration max_silence() const;
   void refuse(ErrorKind kind, const std::string& message);
   void fail(ErrorKind kind, const std::string& message);
-  void cut_off(const std::string& reason);
-  // Ends a request that a worker may have run.
-  void break_off(const std::string& reason);
+  void abort_answer(const std::string& reason);
+  // Ends the request with an error, given that a worker may have run it.
+  void fail_after_run(const std::string& reason);
   void finish(RelayEnd end, const std::string& reason);
   Duration elapsed() const;
   Duration time_left() const;
@@ -97,20 +98,20 @@
   MonotonicTime deadline_;
   std::unique_ptr<WorkerAttempt> attempt_;
   std::set<std::string> tried_;
-  std::string worker_;     // asked last
-  uint32_t runs_ = 0;      // workers that may have run it
-  uint32_t refusals_ = 0;  // sends that were certainly not run
+  std::string worker_;     // the most recent one
+  uint32_t runs_ = 0;      // sends that may have run
+  uint32_t refusals_ = 0;  // sends that certainly did not run
   bool waiting_ = false;
-  bool waits_for_turn_ = false;  // was the reason of the last try
-  bool started_ = false;         // the answer's head was written
+  bool waits_for_earlier_run_ = false;  // why the last send was not possible
+  bool started_ = false;                // the response head was written
   bool ended_ = false;
-  bool reached_worker_ = false;  // it was at a worker when it ended
+  bool reached_worker_ = false;  // a run was in progress when the request ended
   std::optional<uint64_t> last_event_;
   TimerPtr deadline_timer_;
   TimerPtr wait_timer_;
   TimerPtr silence_timer_;
-  MonotonicTime last_activity_{};  // of the worker asked last
-  Duration expected_reading_{0};   // that it needed for its prompts when it was asked
+  MonotonicTime last_activity_{};  // of the most recent worker
+  Duration expected_prefill_{0};   // that worker's prefill backlog at the send
   Lifetime lifetime_;
 };
 
--- a/src/serving/route_table.cc
+++ b/src/serving/route_table.cc
@@ -3,7 +3,7 @@
 namespace chalkshed {
 namespace {
 
-constexpr char kSeparator = ' ';  // stands in neither a host nor a path
+constexpr char kSeparator = ' ';  // occurs in neither a host nor a path
 
 }  // namespace
 
--- a/src/serving/route_table.h
+++ b/src/serving/route_table.h
@@ -1,5 +1,5 @@
-// Routes: which requests exist, which services answer them, and what the operator asks of each.
-// A table is immutable; a new version replaces the whole of it.
+// The routing table: which requests are served, by which services, and with which time limits and
+// retries. A table is immutable; a new version of the configuration replaces it as a whole.
 #pragma once
 
 #include <cstdint>
@@ -19,8 +19,8 @@
 
 enum class RouteKind {
   kRepeatable,  // a request may run more than once
-  kOnce,        // at most once for each caller's attempt
-  kStreaming,   // the answer is a series of events; repeatable where the route is resumable
+  kOnce,        // at most once for each attempt of a caller
+  kStreaming,   // the answer is an event stream; repeatable if the route is resumable
   kBatch,       // jobs of many requests that run later
 };
 
@@ -37,19 +37,19 @@
   std::string host;
   std::string path_prefix;  // begins and ends with a slash
   RouteKind kind = RouteKind::kOnce;
-  Duration timeout{0};        // longest time that a request is held
-  Duration target{0};         // an answer within it is in time
-  uint32_t attempts = 1;      // most workers that one request may be sent to
-  uint32_t priority = 0;      // 0 is the most urgent
-  bool resumable = false;     // a stream may go on at another worker behind its last event
-  Duration longest_pause{0};  // between two events of a stream that is in time; 0: not limited
+  Duration timeout{0};        // deadline for the final answer
+  Duration target{0};         // latency target
+  uint32_t attempts = 1;      // maximum number of runs of one request
+  uint32_t priority = 0;      // 0 is the highest
+  bool resumable = false;     // another worker may continue a stream after its last event
+  Duration longest_pause{0};  // target for the gap between two events; 0: no limit
   std::vector<WeightedService> services;
-  Duration run_target{0};  // batch: all results are due this long after the job was first sent
-  Duration retention{0};   // batch: an unfinished item may be given up after this long
-  // Batch: tokens of accepted items that have not ended, over all nodes, of one tenant, or of all
-  // callers where there are no tenants; 0: no limit.
+  Duration run_target{0};  // batch: deadline for all results, from the job's first submission
+  Duration retention{0};   // batch: unfinished items may be dropped after this long
+  // Batch: limit on the tokens of accepted unfinished items over all nodes, per tenant, or for all
+  // callers together if no tenants are configured; 0: no limit.
   uint64_t max_queued_tokens = 0;
-  // Callers need no key although there are tenants.
+  // Callers need no API key even if tenants are configured.
   bool open = false;
 };
 
@@ -58,14 +58,14 @@
 
 struct ServiceSpec {
   std::string name;
-  // Connections that one worker accepts from all nodes together.
+  // Maximum number of connections to one worker, over all nodes.
   uint32_t max_connections = 0;
-  bool generates = false;      // its workers are model engines that batch continuously
-  uint64_t memory_tokens = 0;  // of one engine, for running requests and cached prompts
-  cold_start cold{};           // what its workers bear while they are cold
+  bool generates = false;      // its workers are model engines with continuous batching
+  uint64_t memory_tokens = 0;  // KV cache of one engine, for running requests and cached prompts
+  cold_start cold{};           // request limits of its workers during warm-up
 };
 
-// Bounds on what a caller may send and how long it may take.
+// Limits on the size of a caller's request and on idle connections.
 struct CallerLimits {
   size_t max_header_bytes = 16 * 1024;
   size_t max_body_bytes = 4 * 1024 * 1024;
@@ -83,9 +83,9 @@
   const tenant_table& tenants() const { return tenants_; }
   const std::vector<Route>& routes() const { return routes_; }
   const std::map<std::string, ServiceSpec>& services() const { return services_; }
-  // @return the route of that host with the longest prefix of `path`, or null.
+  // @return the route of `host` with the longest matching prefix of `path`, or null.
   const Route* find(std::string_view host, std::string_view path) const;
-  // @return the service's description, or null.
+  // @return the service's configuration, or null.
   const ServiceSpec* service(const std::string& name) const;
 
  private:
@@ -94,7 +94,7 @@
   std::map<std::string, ServiceSpec> services_;
   CallerLimits limits_;
   tenant_table tenants_;
-  // Indexes into routes_ by host and prefix, joined by a blank.
+  // Indices into routes_, keyed by host and prefix joined by a space.
   std::unordered_map<std::string, size_t> by_host_and_prefix_;
 };
 using RouteTablePtr = std::shared_ptr<const RouteTable>;
--- a/src/serving/route_watch.h
+++ b/src/serving/route_watch.h
@@ -1,5 +1,5 @@
-// Follows the operator's configuration in the store: the newest version that could be read is in
-// force, and never an older one after it.
+// Watches the operator's configuration in the store. The newest valid version is in force; the
+// version never goes back.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 class RouteWatch : public TableObserver {
  public:
-  // Reads a row's value. Errors name what is wrong.
+  // Decodes a row's value. Errors say what is wrong with it.
   using Decode = std::function<Expected<RouteTable>(std::string_view value)>;
 
   // @param key of the row that holds the configuration.
@@ -21,7 +21,7 @@
       : logger_(logger), key_(std::move(key)), decode_(std::move(decode)) {}
 
   void on_row(const StoredRow& row) override;
-  // @return the routes in force; null before any are known.
+  // @return the routes in force; null before the first configuration was read.
   const RouteTablePtr& current() const { return current_; }
   void set_on_changed(std::function<void()> callback) { on_changed_ = std::move(callback); }
 
--- a/src/serving/service_draw.cc
+++ b/src/serving/service_draw.cc
@@ -3,7 +3,8 @@
 namespace chalkshed {
 namespace {
 
-// Steps of the golden ratio spread most evenly.
+// The fractional part of the golden ratio: an additive recurrence with this step has the lowest
+// discrepancy.
 constexpr double kStep = 0.6180339887498949;
 
 }  // namespace
--- a/src/serving/service_draw.h
+++ b/src/serving/service_draw.h
@@ -1,4 +1,4 @@
-// Draws the service of a request from its route's weights.
+// Selects the service for a request according to the weights of its route.
 #pragma once
 
 #include <map>
@@ -9,7 +9,7 @@
 
 namespace chalkshed {
 
-// Draws in a low-discrepancy sequence with a random start, so that the shares are right already
+// Uses a low-discrepancy sequence with a random start, so that the shares match the weights even
 // over few requests, and over all nodes together.
 class ServiceDraw {
  public:
--- a/src/serving/serving_environment.h
+++ b/src/serving/serving_environment.h
@@ -1,4 +1,4 @@
-// What all requests in progress of one serving gateway share.
+// Dependencies and settings shared by all requests of one serving gateway.
 #pragma once
 
 #include <memory>
@@ -16,17 +16,17 @@
 namespace chalkshed {
 
 struct ServingKnobs {
-  // Sends of one request to workers that refuse it without running it.
-  uint32_t most_refused_sends = 4;
+  // Maximum number of sends of one request that workers refuse without running it.
+  uint32_t max_refused_sends = 4;
   Duration connect_timeout = std::chrono::milliseconds(400);
-  // When to come back after a refusal, unless there is better to say.
+  // Default Retry-After of a refusal.
   Duration retry_after = std::chrono::milliseconds(150);
-  // A stream whose caller has not taken this much is cut off.
-  size_t most_buffered_bytes = 1024 * 1024;
-  // A repeatable request is sent elsewhere when its worker has been silent for this long.
+  // A stream is aborted when more bytes than this are unread by its caller.
+  size_t max_buffered_bytes = 1024 * 1024;
+  // A repeatable request is sent to another worker when its worker has sent nothing for this long.
   Duration repeatable_silence = std::chrono::milliseconds(900);
-  // A request that finds all places taken waits for one this share of its target.
-  double longest_wait_of_target = 0.8;
+  // How long a request waits for a free slot, as a fraction of its latency target.
+  double max_wait_share_of_target = 0.8;
 };
 
 // All references outlive the requests.
--- a/src/serving/serving_gateway.cc
+++ b/src/serving/serving_gateway.cc
@@ -41,16 +41,16 @@
       std::make_unique<RequestRelay>(environment_, std::move(table), route, draw_.draw(route),
                                      std::move(request), std::move(writer), std::move(on_end));
   RequestRelay& started = *relay;
-  const double start = orders_[started.service()].enter(tenant);
+  const double start = queues_[started.service()].enter(tenant);
   relays_.emplace(id, InProgress{std::move(relay), start});
-  started.start(waiting_before(started.service(), started.priority()) > 0);
+  started.start(count_waiting_ahead(started.service(), started.priority()) > 0);
   if (!started.waiting()) {
-    note_placed(relays_.at(id));
+    note_dispatched(relays_.at(id));
   }
-  const size_t places = environment_.workers.free_slots(started.service());
+  const size_t slots = environment_.workers.free_slots(started.service());
   const size_t short_of = waiting();
-  if (started.waiting() && short_of > places && on_short_of_places_) {
-    on_short_of_places_(short_of - places);
+  if (started.waiting() && short_of > slots && on_slot_shortage_) {
+    on_slot_shortage_(short_of - slots);
   } else if (started.waiting()) {
     environment_.dispatcher.post(lifetime_.guard([this] { dispatch_waiting(); }));
   }
@@ -63,15 +63,15 @@
       .add(1);
 }
 
-size_t ServingGateway::waiting_before(const std::string& service, uint32_t priority) const {
+size_t ServingGateway::count_waiting_ahead(const std::string& service, uint32_t priority) const {
   return static_cast<size_t>(std::count_if(relays_.begin(), relays_.end(), [&](const auto& entry) {
     const RequestRelay& relay = *entry.second.relay;
-    return relay.short_of_place() && relay.service() == service && relay.priority() <= priority;
+    return relay.waits_for_slot() && relay.service() == service && relay.priority() <= priority;
   }));
 }
 
-void ServingGateway::note_placed(const InProgress& placed) {
-  orders_[placed.relay->service()].serve(placed.start);
+void ServingGateway::note_dispatched(const InProgress& dispatched) {
+  queues_[dispatched.relay->service()].serve(dispatched.start);
 }
 
 void ServingGateway::remove_later(uint64_t id) {
@@ -80,15 +80,15 @@
 
 size_t ServingGateway::waiting() const {
   return static_cast<size_t>(std::count_if(relays_.begin(), relays_.end(), [](const auto& entry) {
-    return entry.second.relay->short_of_place();
+    return entry.second.relay->waits_for_slot();
   }));
 }
 
 void ServingGateway::dispatch_waiting() {
-  if (placing_) {
-    return;  // sending may itself free a place
+  if (dispatching_) {
+    return;  // sending a request may itself free a slot
   }
-  placing_ = true;
+  dispatching_ = true;
   std::vector<const InProgress*> waiting;
   for (const auto& [id, entry] : relays_) {
     if (entry.relay->waiting()) {
@@ -101,11 +101,11 @@
                : a->start < b->start;
   });
   for (const InProgress* entry : waiting) {
-    if (entry->relay->try_place()) {
-      note_placed(*entry);
+    if (entry->relay->try_dispatch()) {
+      note_dispatched(*entry);
     }
   }
-  placing_ = false;
+  dispatching_ = false;
 }
 
 }  // namespace chalkshed
--- a/src/serving/serving_protocol.h
+++ b/src/serving/serving_protocol.h
@@ -1,5 +1,5 @@
-// How requests are written to workers and how their answers are read, and how errors are told to
-// callers: the part of serving that depends on a wire format. Decides nothing.
+// The wire format of serving: encodes requests to workers, interprets the heads of their answers,
+// and encodes error responses to callers. Holds no policy.
 #pragma once
 
 #include <cstdint>
@@ -15,26 +15,26 @@
 // One send of a request to one worker.
 struct WorkerSend {
   const ServingRequest* request = nullptr;
-  std::string incarnation;            // only this start of the worker may run the request
-  std::optional<Duration> time_left;  // the worker stops working after it
+  std::string incarnation;            // only this incarnation of the worker may run the request
+  std::optional<Duration> time_left;  // the worker cancels the request after it
   std::optional<uint64_t> resume_after;
 };
 
-// What a worker says of its load beside an answer.
+// The load that a worker reports in the headers of an answer.
 struct WorkerLoadReport {
   uint32_t running = 0;
   uint32_t waiting = 0;
   uint32_t slots = 0;
 };
 
-// What the head of a worker's answer means.
+// The interpretation of the head of a worker's answer.
 struct WorkerVerdict {
-  bool not_run = false;            // the worker promises that it did not run the request
+  bool not_run = false;            // the worker states that it did not run the request
   bool other_incarnation = false;  // another worker has the address now
-  bool authentic = false;          // carries the worker's proof that the answer is its own
+  bool authentic = false;          // carries the worker's proof of origin
   bool other_request = false;      // belongs to another request
-  bool encoded = false;            // the body is not the bytes that were asked for
-  bool leaving = false;            // the worker closes the connection because it will stop
+  bool encoded = false;            // the body has a content encoding that was not requested
+  bool leaving = false;            // the worker closes the connection because it is draining
   std::optional<WorkerLoadReport> load;
 };
 
@@ -44,7 +44,7 @@
   virtual HttpRequest encode(const WorkerSend& send) const = 0;
   virtual WorkerVerdict judge(const ServingRequest& request, int status,
                               const HttpHeaders& headers) const = 0;
-  // The headers of a worker's answer that go to the caller.
+  // @return the headers of a worker's answer that are forwarded to the caller.
   virtual HttpHeaders headers_to_caller(const ServingRequest& request,
                                         const HttpHeaders& headers) const = 0;
   virtual HttpResponse refusal(const std::string& request_id, const Error& error) const = 0;
--- a/src/serving/serving_request.h
+++ b/src/serving/serving_request.h
@@ -1,5 +1,5 @@
-// A caller's request whose content is opaque: it reaches a worker byte for byte, and the worker's
-// answer comes back byte for byte. What routing needs to know of it stands beside.
+// A caller's request. The content is opaque: it is forwarded to a worker byte for byte, and so is
+// the worker's answer to the caller. The metadata that routing needs is kept beside it.
 #pragma once
 
 #include <cstdint>
@@ -12,31 +12,31 @@
 
 namespace chalkshed {
 
-// A part of a prompt that other requests may share.
+// A segment of a prompt, which other requests may share as part of a common prefix.
 struct PromptPart {
   std::string id;
   uint32_t tokens = 0;
 };
 
 struct ServingRequest {
-  std::string id;    // the caller's; every attempt of a caller has its own
+  std::string id;    // set by the caller, unique to each of its attempts
   std::string host;  // selects the route together with the path
-  // Method, path, query, body, and the headers that are passed on.
+  // Method, path, query, body, and the headers that are forwarded.
   HttpRequest message;
   std::optional<Duration> time_limit;  // how long the caller waits
-  std::string tenant;                  // whose key came with it; empty: nobody in particular
-  // The tenant's, which goes before the route's.
+  std::string tenant;                  // owner of the API key; empty without one
+  // The tenant's priority, which overrides the route's.
   std::optional<uint32_t> priority;
-  // The parts in order; the last is the request's own. Empty for plain services.
+  // The segments in order; the last one is specific to this request. Empty if the service doesn't
+  // generate text.
   std::vector<PromptPart> prompt;
   uint32_t prompt_tokens = 0;
   uint32_t max_output_tokens = 0;
-  // What an item of a batch job counts against the queue limit of its route, in tokens.
+  // Tokens that an item of a batch job counts towards the queue limit of its route.
   uint64_t queue_tokens = 0;
-  // The caller continues a stream behind this event.
+  // The caller resumes a stream after this event.
   std::optional<uint64_t> resume_after;
-  // Of its content (request_digest.h): the same for all attempts of a caller. Set once it is taken
-  // in.
+  // Hash of the content (request_digest.h), equal for all attempts of a caller. Set on admission.
   uint64_t digest = 0;
 };
 
--- a/src/serving/worker_attempt.cc
+++ b/src/serving/worker_attempt.cc
@@ -14,34 +14,34 @@
 
 WorkerAttempt::WorkerAttempt(TimeSource& time_source, HttpClient& client,
                              const ServingProtocol& protocol, WorkerSet& workers,
-                             request_quarantine& quarantine, WorkerSlotPtr place,
+                             request_quarantine& quarantine, WorkerSlotPtr slot,
                              const WorkerSend& send, const AttemptOptions& options,
                              AttemptObserver& observer)
     : time_source_(time_source),
       protocol_(protocol),
       workers_(workers),
       quarantine_(quarantine),
-      place_(std::move(place)),
+      slot_(std::move(slot)),
       request_(*send.request),
       streaming_(options.streaming),
       silence_timeout_(options.silence_timeout),
       observer_(observer),
       sent_(time_source.monotonic_now()),
       last_activity_(sent_),
-      note_over_(quarantine.note_begun(request_.digest)) {
+      on_run_over_(quarantine.note_begun(request_.digest)) {
   HttpCallOptions call_options;
   call_options.pool = options.pool;
   call_options.connect_timeout = options.connect_timeout;
   call_options.idle_timeout = options.silence_timeout;
   call_options.host = request_.host;
-  call_ = client.send(place_->worker().record.address, protocol_.encode(send), call_options, *this);
+  call_ = client.send(slot_->worker().record.address, protocol_.encode(send), call_options, *this);
 }
 
-WorkerAttempt::~WorkerAttempt() { stop_counting(); }
+WorkerAttempt::~WorkerAttempt() { end_run(); }
 
-void WorkerAttempt::stop_counting() {
-  if (const auto note_over = std::exchange(note_over_, nullptr)) {
-    note_over();
+void WorkerAttempt::end_run() {
+  if (const auto on_run_over = std::exchange(on_run_over_, nullptr)) {
+    on_run_over();
   }
 }
 
@@ -50,26 +50,26 @@
   verdict_ = protocol_.judge(request_, status, headers);
   end_.status = status;
   end_.headers = headers;
-  ServingWorker& worker = place_->worker();
+  ServingWorker& worker = slot_->worker();
   if (verdict_.load) {
     workers_.note_report(worker, *verdict_.load);
   }
   if (verdict_.other_request) {
     workers_.note_failure(worker, sent_);
-    break_off("the worker's answer belongs to another request");
+    abandon("the worker's answer belongs to another request");
     return;
   }
   if (verdict_.not_run) {
-    return;  // the rest of the answer is not needed, but its end keeps the connection
+    return;  // the rest is not needed, but reading it to the end lets the connection be reused
   }
   if (!verdict_.authentic) {
     workers_.note_failure(worker, sent_);
-    break_off("the answer of status " + std::to_string(status) + " isn't authentic");
+    abandon("the answer with status " + std::to_string(status) + " is not authentic");
     return;
   }
   if (verdict_.encoded) {
     workers_.note_failure(worker, sent_);
-    break_off("the worker encoded the body unasked");
+    abandon("the worker used a content encoding that was not requested");
     return;
   }
   if (streaming_ && status == kOk) {
@@ -92,13 +92,13 @@
 }
 
 void WorkerAttempt::note_first_event() {
-  if (!std::exchange(has_event_, true) && place_->worker_was_idle) {
+  if (!std::exchange(has_event_, true) && slot_->worker_was_idle) {
     workers_.note_first_token(request_.prompt_tokens, time_source_.monotonic_now() - sent_);
   }
 }
 
 void WorkerAttempt::on_end() {
-  ServingWorker& worker = place_->worker();
+  ServingWorker& worker = slot_->worker();
   if (verdict_.not_run) {
     if (verdict_.other_incarnation) {
       workers_.note_replaced(worker);
@@ -122,7 +122,7 @@
 }
 
 void WorkerAttempt::on_error(const Error& error) {
-  workers_.note_failure(place_->worker(), sent_);
+  workers_.note_failure(slot_->worker(), sent_);
   if (verdict_.not_run) {
     end(AttemptResult::kNotRun, "the worker refused with status " + std::to_string(end_.status));
     return;
@@ -137,10 +137,10 @@
 
 void WorkerAttempt::note_broken() {
   const Duration silence = time_source_.monotonic_now() - last_activity_;
-  quarantine_.note_broken(request_.digest, place_->worker(), sent_, silence >= silence_timeout_);
+  quarantine_.note_broken(request_.digest, slot_->worker(), sent_, silence >= silence_timeout_);
 }
 
-void WorkerAttempt::break_off(std::string reason) {
+void WorkerAttempt::abandon(std::string reason) {
   call_.reset();
   end(AttemptResult::kBroken, std::move(reason));
 }
@@ -149,7 +149,7 @@
   if (std::exchange(ended_, true)) {
     return;
   }
-  stop_counting();
+  end_run();
   end_.result = result;
   end_.reason = std::move(reason);
   // The observer may destroy this attempt.
--- a/src/serving/worker_attempt.h
+++ b/src/serving/worker_attempt.h
@@ -1,5 +1,5 @@
-// One send of a request to one worker, from the connection to the end of the answer. Tells apart
-// what the worker certainly did not run, what it answered whole, and what broke off.
+// One send of a request to one worker, from connecting to the end of the answer. Distinguishes
+// complete answers, requests that certainly did not run, and runs that were interrupted.
 #pragma once
 
 #include <memory>
@@ -15,34 +15,34 @@
 namespace chalkshed {
 
 enum class AttemptResult {
-  kWhole,   // the worker answered, whole and its own
+  kWhole,   // a complete, authentic answer
   kNotRun,  // the request certainly did not run there
-  kBroken,  // it may have run; no whole answer
+  kBroken,  // it may have run; no complete answer
 };
 
 struct AttemptEnd {
   AttemptResult result = AttemptResult::kBroken;
   int status = 0;
   HttpHeaders headers;  // kWhole only
-  std::string body;     // kWhole only, unless the events were handed on
-  std::string reason;   // not kWhole: what happened
+  std::string body;     // kWhole only; empty if the answer was streamed to the observer
+  std::string reason;   // kNotRun and kBroken: what happened
 };
 
 class AttemptObserver {
  public:
   virtual ~AttemptObserver() = default;
-  // A stream of events has begun: status 200, authentic.
+  // An event stream has started: status 200, authentic.
   virtual void on_stream_begun(const HttpHeaders& headers) = 0;
-  // Whole events of the stream.
+  // Complete events of the stream.
   virtual void on_events(std::string_view events) = 0;
-  // Last. The attempt may be destroyed inside.
+  // The last callback. It may destroy the attempt.
   virtual void on_attempt_ended(const AttemptEnd& end) = 0;
 };
 
 struct AttemptOptions {
-  std::string pool;  // of connections; online and batch never share one
+  std::string pool;  // connection pool; online and batch work never share one
   Duration connect_timeout = std::chrono::milliseconds(400);
-  // The worker may be silent this long.
+  // Maximum time without data from the worker.
   Duration silence_timeout = std::chrono::seconds(30);
   bool streaming = false;
 };
@@ -50,14 +50,14 @@
 class WorkerAttempt : private HttpCallCallbacks {
  public:
   WorkerAttempt(TimeSource& time_source, HttpClient& client, const ServingProtocol& protocol,
-                WorkerSet& workers, request_quarantine& quarantine, WorkerSlotPtr place,
+                WorkerSet& workers, request_quarantine& quarantine, WorkerSlotPtr slot,
                 const WorkerSend& send, const AttemptOptions& options, AttemptObserver& observer);
-  // Closes the connection unless the answer has ended; the worker then stops.
+  // Closes the connection unless the answer has ended, which makes the worker cancel the request.
   ~WorkerAttempt() override;
   WorkerAttempt(const WorkerAttempt&) = delete;
   WorkerAttempt& operator=(const WorkerAttempt&) = delete;
 
-  ServingWorker& worker() const { return place_->worker(); }
+  ServingWorker& worker() const { return slot_->worker(); }
   HttpCall& call() { return *call_; }
   MonotonicTime sent() const { return sent_; }
 
@@ -67,28 +67,28 @@
   void on_end() override;
   void on_error(const Error& error) override;
   void end(AttemptResult result, std::string reason);
-  // Gives the connection up in the midst of the answer.
-  void break_off(std::string reason);
+  // Closes the connection before the end of the answer.
+  void abandon(std::string reason);
 
   void note_first_event();
-  // The run occupies the worker no more, so that another run of the request may begin.
-  void stop_counting();
-  // The run broke off with its connection, and perhaps with its worker.
+  // Tells the quarantine that this run is over, so that another run of the same content may start.
+  void end_run();
+  // Tells the quarantine that the connection was lost during the run; the worker may have crashed.
   void note_broken();
 
   TimeSource& time_source_;
   const ServingProtocol& protocol_;
   WorkerSet& workers_;
   request_quarantine& quarantine_;
-  WorkerSlotPtr place_;
+  WorkerSlotPtr slot_;
   const ServingRequest& request_;
   const bool streaming_;
   const Duration silence_timeout_;
   AttemptObserver& observer_;
   WorkerVerdict verdict_;
   const MonotonicTime sent_;
-  MonotonicTime last_activity_;      // of the worker
-  std::function<void()> note_over_;  // null once called
+  MonotonicTime last_activity_;        // of the worker
+  std::function<void()> on_run_over_;  // null after the call
   bool has_event_ = false;
   bool relays_events_ = false;
   bool ended_ = false;
--- a/src/serving/worker_set.cc
+++ b/src/serving/worker_set.cc
@@ -8,7 +8,7 @@
 namespace chalkshed {
 namespace {
 
-// Tokens of the parts that other requests share; the last part is the request's own.
+// Tokens of the shared segments, which are all but the last.
 uint32_t shared_tokens(const ServingRequest& request) {
   uint32_t tokens = 0;
   for (size_t index = 0; index + 1 < request.prompt.size(); ++index) {
@@ -25,16 +25,16 @@
   return hash;
 }
 
-// Of one start of a worker.
+// Identifies one incarnation of a worker.
 uint64_t hash_of(const WorkerRecord& record) {
   const auto started = static_cast<uint64_t>(record.started.time_since_epoch().count());
   return content_hash(record.incarnation, started) & UINT32_MAX;
 }
 
-double seconds_of(Duration duration) { return std::chrono::duration<double>(duration).count(); }
+double to_seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-// @return a number in [0, 1) that the hash stands for.
-double unit_of(uint64_t hash) { return static_cast<double>(hash >> 11U) * 0x1.0p-53; }
+// Maps a hash uniformly to [0, 1).
+double to_unit_interval(uint64_t hash) { return static_cast<double>(hash >> 11U) * 0x1.0p-53; }
 
 }  // namespace
 
@@ -63,7 +63,7 @@
       own_zone_(std::move(own_zone)),
       knobs_(knobs),
       started_(time_source.monotonic_now()),
-      own_order_(random.next()),
+      order_seed_(random.next()),
       prompt_rate_(knobs.prompt_tokens_per_millisecond),
       cold_limit_(knobs.cold_start) {}
 
@@ -97,14 +97,15 @@
   const bool restarted = worker && worker->record.started != record.started;
   if (restarted) {
     drop(worker);
-    worker.reset();  // it knows nothing of before, and nothing of before holds of it
+    worker.reset();  // no state of the previous incarnation applies to the new one
   }
   const bool is_new = !worker;
   if (is_new) {
     worker = std::make_shared<ServingWorker>();
     worker->outcomes = worker_outcomes(knobs_.outcomes);
-    worker->own_order = unit_of(content_hash(record.incarnation, own_order_));
-    // Two workers that share a hash, one pair in a thousand fleets of 3,000, share their load.
+    worker->order_offset = to_unit_interval(content_hash(record.incarnation, order_seed_));
+    // Workers with the same hash are seen by peers as one, which happens to one pair in a thousand
+    // fleets of 3,000 workers.
     worker->hash = hash_of(record);
     by_hash_[worker->hash] = worker;
   }
@@ -117,9 +118,9 @@
   worker->evacuated = evacuated_zones_.contains(record.zone);
   cold_limit_.note_cold(worker->cold, record.incarnation, service_of(record.service).cold,
                         record.cold_left, time_source_.monotonic_now());
-  forget_old();
-  if (is_new && on_place_freed_) {
-    on_place_freed_();
+  drop_expired();
+  if (is_new && on_slot_freed_) {
+    on_slot_freed_();
   }
 }
 
@@ -130,7 +131,7 @@
     found->second->unlisted_since = time_source_.monotonic_now();
     unlisted_.push_back({found->second, found->second->unlisted_since});
   }
-  forget_old();
+  drop_expired();
 }
 
 void WorkerSet::reject(const std::string& incarnation) {
@@ -141,13 +142,13 @@
   }
 }
 
-void WorkerSet::forget_old() {
+void WorkerSet::drop_expired() {
   const MonotonicTime now = time_source_.monotonic_now();
   while (!unlisted_.empty() && now - unlisted_.front().since > knobs_.unlisted_grace) {
     const WorkerPtr worker = unlisted_.front().worker.lock();
     const MonotonicTime since = unlisted_.front().since;
     unlisted_.pop_front();
-    // It may have been listed, and perhaps removed again, or have started anew since then.
+    // Since then it may have been listed again, removed again, or restarted.
     const bool gone = worker && !worker->listed && worker->unlisted_since == since;
     const auto found = gone ? workers_.find(worker->record.incarnation) : workers_.end();
     if (found != workers_.end() && found->second == worker) {
@@ -169,7 +170,8 @@
   return workers;
 }
 
-// Its workers may have turned cold shortly before, and their records may tell so a moment later.
+// The workers may have become cold just before, and their records may be updated only later, so
+// they are assumed to be cold.
 size_t WorkerSet::readmit(const std::string& zone) {
   if (evacuated_zones_.erase(zone) == 0) {
     return 0;
@@ -185,8 +187,8 @@
     cold_limit_.note_cold(worker->cold, incarnation, cold, cold.lasts, now);
     workers += worker->listed ? 1 : 0;
   }
-  if (workers > 0 && on_place_freed_) {
-    on_place_freed_();
+  if (workers > 0 && on_slot_freed_) {
+    on_slot_freed_();
   }
   return workers;
 }
@@ -209,7 +211,7 @@
   for (const auto& [name, cold] : services) {
     service_of(name).cold = cold;
   }
-  nodes_changed();  // the rate decides how many senders there are
+  nodes_changed();  // the number of sending nodes depends on the rate
 }
 
 MonotonicTime WorkerSet::note_nodes_listed() {
@@ -251,8 +253,8 @@
   if (online > 0) {
     observe_online(service_of(loaded.record.service));
   }
-  if (online + batch < 0 && on_place_freed_) {
-    on_place_freed_();
+  if (online + batch < 0 && on_slot_freed_) {
+    on_slot_freed_();
   }
   return true;
 }
@@ -267,21 +269,21 @@
   const bool was_suspect = outcomes.suspect(now);
   outcomes.merge(told);
   if (outcomes.worth_telling(now)) {
-    active_[worker] = found->second;  // a success here is newer than the failure
+    active_[worker] = found->second;  // a success at this node is newer than the failure
   }
   return !was_suspect && outcomes.suspect(now) ? found->second : nullptr;
 }
 
-void WorkerSet::add_reading(ServingWorker& worker, double tokens) {
+void WorkerSet::add_prefill(ServingWorker& worker, double tokens) {
   const auto time = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double, std::milli>(tokens / prompt_rate_.tokens_per_millisecond()));
-  worker.reading_until = std::max(worker.reading_until, time_source_.monotonic_now()) + time;
+  worker.prefill_until = std::max(worker.prefill_until, time_source_.monotonic_now()) + time;
 }
 
 void WorkerSet::add_prompt_tokens(uint64_t worker, uint32_t tokens) {
   const auto found = by_hash_.find(worker);
   if (found != by_hash_.end() && tokens > 0) {
-    add_reading(*found->second, tokens);
+    add_prefill(*found->second, tokens);
   }
 }
 
@@ -326,7 +328,7 @@
       const uint32_t total = worker.report->running + worker.report->waiting;
       const uint32_t reported_others =
           total > worker.in_flight_when_reported ? total - worker.in_flight_when_reported : 0;
-      const double weight = 1.0 - seconds_of(age) / seconds_of(knobs_.report_lifetime);
+      const double weight = 1.0 - to_seconds(age) / to_seconds(knobs_.report_lifetime);
       others = std::max(others, static_cast<uint32_t>(std::lround(weight * reported_others)));
     }
   }
@@ -340,25 +342,25 @@
 
 service_load WorkerSet::load_of_service(const Service& service) const {
   const MonotonicTime now = time_source_.monotonic_now();
-  service_load sound;
+  service_load healthy;
   service_load all;
   for (const WorkerPtr& worker : service.workers) {
-    if (!stays(*worker)) {
+    if (!in_service(*worker)) {
       continue;
     }
     const uint32_t load = load_at(*worker, now);
     service_load one;
-    one.places = worker->record.slots;
+    one.slots = worker->record.slots;
     one.free = worker->record.slots - std::min(load, worker->record.slots);
     one.batch = worker->batch_in_flight + static_cast<uint32_t>(std::max(worker->others_batch, 0));
     one.own_batch = worker->batch_in_flight;
     all += one;
     if (!worker->outcomes.suspect(now) &&
         !cold_start_limit::limited(worker->cold, service.cold, now)) {
-      sound += one;
+      healthy += one;
     }
   }
-  return sound.places > 0 ? sound : all;
+  return healthy.slots > 0 ? healthy : all;
 }
 
 double WorkerSet::batch_runs_to_stop(const std::string& name) {
@@ -383,27 +385,27 @@
 
 bool WorkerSet::usable(const ServingWorker& worker, const Choice& choice) const {
   const bool limited = cold_start_limit::limited(worker.cold, choice.service.cold, choice.now);
-  if (leaves(worker) || (limited && !cold_start_limit::may_send(worker.cold, choice.now))) {
+  if (withdrawn(worker) || (limited && !cold_start_limit::may_send(worker.cold, choice.now))) {
     return false;
   }
   return choice.request.even_if_full || load_at(worker, choice.now) < worker.record.slots;
 }
 
 Duration WorkerSet::prefill_backlog(const ServingWorker& worker) const {
-  return std::max(worker.reading_until - time_source_.monotonic_now(), Duration(0));
+  return std::max(worker.prefill_until - time_source_.monotonic_now(), Duration(0));
 }
 
-double WorkerSet::cost(const ServingWorker& worker, const Choice& choice, double kept) const {
+double WorkerSet::cost(const ServingWorker& worker, const Choice& choice, double cached) const {
   const uint32_t load = load_at(worker, choice.now);
   const ServingRequest* request = choice.request.request;
   const double tokens = request == nullptr ? 0.0 : request->prompt_tokens;
-  const Duration reading = std::max(worker.reading_until - choice.now, Duration(0));
-  double milliseconds = std::chrono::duration<double, std::milli>(reading).count() +
-                        std::max(tokens - kept, 0.0) / prompt_rate_.tokens_per_millisecond() +
+  const Duration prefill = std::max(worker.prefill_until - choice.now, Duration(0));
+  double milliseconds = std::chrono::duration<double, std::milli>(prefill).count() +
+                        std::max(tokens - cached, 0.0) / prompt_rate_.tokens_per_millisecond() +
                         knobs_.milliseconds_per_request * load;
   if (load >= worker.record.slots) {
-    milliseconds +=
-        knobs_.full_milliseconds + knobs_.waiting_milliseconds * (load - worker.record.slots);
+    milliseconds += knobs_.full_worker_milliseconds +
+                    knobs_.waiting_milliseconds * (load - worker.record.slots);
   }
   if (cold_start_limit::limited(worker.cold, choice.service.cold, choice.now)) {
     milliseconds += knobs_.cold_milliseconds;
@@ -419,7 +421,7 @@
 
 WorkerSet::PrefixOwners WorkerSet::prefix_owners(const SlotRequest& request,
                                                  const Service& service) const {
-  if (request.request == nullptr || shared_tokens(*request.request) < knobs_.least_shared_tokens) {
+  if (request.request == nullptr || shared_tokens(*request.request) < knobs_.min_shared_tokens) {
     return {};
   }
   struct Ranked {
@@ -429,11 +431,11 @@
   const uint64_t prefix = prefix_hash(*request.request);
   std::vector<Ranked> ranked;
   for (const WorkerPtr& worker : service.workers) {
-    if (stays(*worker)) {
+    if (in_service(*worker)) {
       ranked.push_back({content_hash(worker->record.incarnation, prefix), worker.get()});
     }
   }
-  const size_t count = std::min(ranked.size(), knobs_.prefix_kept.size());
+  const size_t count = std::min(ranked.size(), knobs_.prefix_cached_probability.size());
   std::partial_sort(ranked.begin(), ranked.begin() + static_cast<ptrdiff_t>(count), ranked.end(),
                     [](const Ranked& a, const Ranked& b) { return a.rank > b.rank; });
   PrefixOwners owners;
@@ -443,16 +445,17 @@
   return owners;
 }
 
-double WorkerSet::kept_tokens(const Choice& choice, const ServingWorker& worker) const {
+double WorkerSet::cached_tokens(const Choice& choice, const ServingWorker& worker) const {
   const auto owner = std::find(choice.owners.begin(), choice.owners.end(), &worker);
   if (owner == choice.owners.end()) {
     return 0.0;
   }
-  const double share = knobs_.prefix_kept[static_cast<size_t>(owner - choice.owners.begin())];
+  const double share =
+      knobs_.prefix_cached_probability[static_cast<size_t>(owner - choice.owners.begin())];
   return share * shared_tokens(*choice.request.request);
 }
 
-bool WorkerSet::sound(const ServingWorker& worker, const Choice& choice) {
+bool WorkerSet::healthy(const ServingWorker& worker, const Choice& choice) {
   if (worker.avoided_until > choice.now || worker.outcomes.paused(choice.now)) {
     return false;
   }
@@ -463,33 +466,34 @@
   return request.tried != nullptr && request.tried->contains(worker.record.incarnation);
 }
 
-bool WorkerSet::any_sound(const Choice& choice) {
+bool WorkerSet::any_healthy(const Choice& choice) {
   return std::any_of(
       choice.service.workers.begin(), choice.service.workers.end(), [&](const WorkerPtr& worker) {
-        return stays(*worker) && !tried(*worker, choice.request) && sound(*worker, choice);
+        return in_service(*worker) && !tried(*worker, choice.request) && healthy(*worker, choice);
       });
 }
 
-// The random part spreads requests of this node over equal workers, the order those of many nodes.
+// The random part spreads the requests of this node over workers of equal cost; the order offset
+// spreads those of different nodes.
 double WorkerSet::rank_of(const ServingWorker& worker, double cost) {
-  return cost + knobs_.own_order_milliseconds * worker.own_order + random_.unit();
+  return cost + knobs_.order_offset_milliseconds * worker.order_offset + random_.unit();
 }
 
 WorkerPtr WorkerSet::choose(const Choice& choice, bool ignore_failures) {
   const std::vector<WorkerPtr>& workers = choice.service.workers;
-  // All records of a service vanish together only while the store is in trouble.
+  // The records of a service all disappear together only when the store has a fault.
   const bool use_unlisted =
       ignore_failures && std::none_of(workers.begin(), workers.end(),
-                                      [](const WorkerPtr& worker) { return stays(*worker); });
+                                      [](const WorkerPtr& worker) { return in_service(*worker); });
   WorkerPtr best;
   double least_rank = 0;
   for (const WorkerPtr& worker : workers) {
     const bool known = worker->listed || use_unlisted;
-    const bool good = ignore_failures || sound(*worker, choice);
+    const bool good = ignore_failures || healthy(*worker, choice);
     if (!known || !good || tried(*worker, choice.request) || !usable(*worker, choice)) {
       continue;
     }
-    const double rank = rank_of(*worker, cost(*worker, choice, kept_tokens(choice, *worker)));
+    const double rank = rank_of(*worker, cost(*worker, choice, cached_tokens(choice, *worker)));
     if (!best || rank < least_rank) {
       best = worker;
       least_rank = rank;
@@ -507,44 +511,45 @@
   }
   const Choice choice{request, service, now, prefix_owners(request, service)};
   WorkerPtr worker = choose(choice, false);
-  // A request rather waits for a sound worker than goes to one that fails: that one looks free, and
-  // in a burst with 13 of 89 workers down, 177 requests were sent to four such ones and refused.
-  if (!worker && online && !any_sound(choice)) {
+  // Prefer waiting for a healthy worker over sending to a failing one, which looks idle: in a burst
+  // with 13 of 89 workers down, 177 requests were sent to four failing workers and refused.
+  if (!worker && online && !any_healthy(choice)) {
     worker = choose(choice, true);
   }
-  return worker ? make_place(std::move(worker), choice) : nullptr;
+  return worker ? make_slot(std::move(worker), choice) : nullptr;
 }
 
-WorkerSlotPtr WorkerSet::make_place(WorkerPtr worker, const Choice& choice) {
+WorkerSlotPtr WorkerSet::make_slot(WorkerPtr worker, const Choice& choice) {
   const SlotRequest& request = choice.request;
-  const double kept = kept_tokens(choice, *worker);
+  const double cached = cached_tokens(choice, *worker);
   const double tokens =
-      request.request == nullptr ? 0.0 : std::max(request.request->prompt_tokens - kept, 0.0);
+      request.request == nullptr ? 0.0 : std::max(request.request->prompt_tokens - cached, 0.0);
   const bool was_idle = prefill_backlog(*worker) == Duration(0);
   worker->prompt_tokens_sent += static_cast<uint32_t>(tokens);
-  const bool many = ++places_taken_ % knobs_.notable_places == 0;
+  const bool many = ++slots_acquired_ % knobs_.notable_slots == 0;
   notable_changes_ += many || tokens >= knobs_.long_prompt_tokens ? 1 : 0;
-  add_reading(*worker, tokens);
+  add_prefill(*worker, tokens);
   active_[worker->hash] = worker;
   if (cold_start_limit::limited(worker->cold, choice.service.cold, choice.now)) {
     cold_limit_.note_sent(worker->cold, choice.service.cold, choice.now);
   }
-  // A place may outlive this node's parts: its request is destroyed in a later turn of the loop.
-  auto place = std::make_unique<WorkerSlot>(std::move(worker), request.work,
-                                            lifetime_.guard([this] { note_place_freed(); }));
-  place->worker_was_idle = was_idle;
+  // A slot may outlive this object: its request is destroyed in a later iteration of the event
+  // loop.
+  auto slot = std::make_unique<WorkerSlot>(std::move(worker), request.work,
+                                           lifetime_.guard([this] { note_slot_freed(); }));
+  slot->worker_was_idle = was_idle;
   if (request.work == WorkClass::kOnline) {
     observe_online(service_of(request.service));
   }
   if (on_load_changed_) {
     on_load_changed_();
   }
-  return place;
+  return slot;
 }
 
-void WorkerSet::note_place_freed() {
-  if (on_place_freed_) {
-    on_place_freed_();
+void WorkerSet::note_slot_freed() {
+  if (on_slot_freed_) {
+    on_slot_freed_();
   }
   if (on_load_changed_) {
     on_load_changed_();
--- a/src/serving/worker_watch.cc
+++ b/src/serving/worker_watch.cc
@@ -21,7 +21,8 @@
     workers_.reject(row.key.key);
     return;
   }
-  // A line for each of 10,000 workers took a node longer than reading them.
+  // During the initial listing of 10,000 workers, writing a log line for each took longer than
+  // reading the records.
   const LogLevel level = listed_ ? LogLevel::kInfo : LogLevel::kDebug;
   if (logger_.enabled(level)) {
     logger_.write(level, "worker_listed",
--- a/src/serving/worker_watch.h
+++ b/src/serving/worker_watch.h
@@ -1,4 +1,4 @@
-// Follows the records of workers in the store and keeps the worker set in step with them.
+// Watches the worker records in the store and applies their changes to the worker set.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 class WorkerWatch : public TableObserver {
  public:
-  // Reads a row: its key and value. Errors name what is wrong.
+  // Decodes the key and value of a row. Errors say what is wrong with it.
   using Decode =
       std::function<Expected<WorkerRecord>(const std::string& key, std::string_view value)>;
 
--- a/tests/online_path/online_path_test.cc
+++ b/tests/online_path/online_path_test.cc
@@ -1,6 +1,6 @@
 /** \file
- * What workers receive against what callers sent, over the whole path of online requests and real
- * sockets: the server, the relay, the client.
+ * Compares what workers receive with what callers sent, over the whole path of online requests with
+ * real sockets: HTTP server, request relay and HTTP client.
  */
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -39,7 +39,7 @@
     return route;
 }
 
-/** A node's online path between sockets, and two workers behind it. */
+/** The online path of a node with real sockets, and two workers. */
 class online_path : public HttpHandler {
 public:
     explicit online_path(RandomGenerator &random) : random_(random) {
@@ -73,7 +73,7 @@
                                                         most_bytes, leave_after));
     }
 
-    /** Until all callers have ended and the workers have read all that was sent to them. */
+    /** Runs until all callers are done and the workers have read everything sent to them. */
     void run() {
         run_until([&] {
             return std::all_of(callers_.begin(), callers_.end(),
@@ -81,13 +81,13 @@
                    gateway_.requests_in_progress() == 0;
         });
         for (raw_worker &worker : workers_) {
-            worker.hurry();
+            worker.stop_throttling();
         }
-        constexpr int kTurnsWithoutAByte = 20;
+        constexpr int kIdleIterations = 20;
         int quiet = 0;
         run_until([&] {
             quiet = moved_ ? 0 : quiet + 1;
-            return quiet > kTurnsWithoutAByte;
+            return quiet > kIdleIterations;
         });
     }
 
@@ -155,7 +155,7 @@
     bool moved_ = false;
 };
 
-/** Draws requests, and the ways of writing them. */
+/** Generates random requests in random encodings. */
 class request_writer {
 public:
     explicit request_writer(RandomGenerator &random) : random_(random) {}
@@ -179,8 +179,8 @@
         return request;
     }
 
-    /** One whose end two readers of HTTP may find at different places, and in what one of them
-     * takes for its body, another. */
+    /** A request smuggling attempt: HTTP parsers may disagree about where the request ends, and
+     * what some of them take for its body contains another request. */
     written_request write_ambiguous() {
         written_request request;
         request.ambiguous = true;
@@ -250,7 +250,7 @@
         return headers;
     }
 
-    /** Without the empty line. */
+    /** The request line and headers, without the empty line. */
     std::string write_head(const written_request &request) {
         std::string head = request.method + " " + request.target + " HTTP/1.1\r\n";
         const std::string host = std::string("Host: ") + kHost + "\r\n";
@@ -300,14 +300,14 @@
     }
     const std::array<size_t, 4> paces = {1 + random.below(3), 1 + random.below(100),
                                          1 + random.below(5000), SIZE_MAX};
-    // A large request byte by byte takes too many turns.
+    // Sending a large request byte by byte takes too many iterations.
     const size_t pace = std::max(paces[random.below(paces.size())], bytes / 3000);
     path.add_caller(std::move(requests), pace,
                     random.below(5) == 0 ? random.below(bytes) + 1 : SIZE_MAX);
 }
 
-/** The headers that a node passes on. */
-HttpHeaders passed_on(const HttpHeaders &headers) {
+/** The headers that a node forwards. */
+HttpHeaders forwarded_headers(const HttpHeaders &headers) {
     return without_headers(
         headers, {"host", "content-length", "chalkshed-expect-instance", "chalkshed-deadline-ms"});
 }
@@ -334,7 +334,7 @@
         RC_ASSERT(!meant.ambiguous);
         RC_ASSERT(request.method == meant.method);
         RC_ASSERT(request.target == meant.target);
-        RC_ASSERT(text_of(passed_on(request.headers)) == text_of(meant.carried));
+        RC_ASSERT(text_of(forwarded_headers(request.headers)) == text_of(meant.carried));
         RC_ASSERT((request.body == meant.body));
     }
 }
@@ -355,10 +355,10 @@
     }
 }
 
-/** Users saw workers get requests that no caller had sent, or had sent otherwise. Nothing tested
- * what arrives at a worker byte for byte, with bodies of all framings and sizes, split and
- * pipelined, under workers that answer before they have read or break off. */
-RC_GTEST_PROP(OnlinePath, WorkersGetWhatCallersSentAndRefusalsAreTrue, (uint32_t seed)) {
+/** Guards against requests that reach a worker altered, or without a caller having sent them. These
+ * arise from bodies of different framings and sizes, split and pipelined writes, and workers that
+ * answer before they have read the request or close the connection. */
+RC_GTEST_PROP(OnlinePath, WorkersGetWhatCallersSentAndRefusedRequestsDidNotRun, (uint32_t seed)) {
     SeededRandomGenerator random(seed);
     online_path path(random);
     request_writer writer(random);
--- a/tests/online_path/raw_caller.h
+++ b/tests/online_path/raw_caller.h
@@ -1,6 +1,6 @@
 /** \file
- * A caller that writes requests in pieces of its own choice, several on one connection, and reads
- * what is answered.
+ * A caller that pipelines requests on one connection in chunks of a given size, and reads the
+ * answers.
  */
 #pragma once
 
@@ -14,16 +14,16 @@
 
 namespace chalkshed {
 
-/** A request as a caller means it, and the bytes that say so. */
+/** A request and its encoding on the wire. */
 struct written_request {
     std::string id;
     std::string method;
     std::string target;
-    HttpHeaders carried; // headers that have to arrive as they are, in this order
+    HttpHeaders carried; // headers that must arrive unchanged and in this order
     std::string body;
     std::string wire;
-    bool once = false;      // may run once at most
-    bool ambiguous = false; // readers may disagree about its end: nothing of it may run
+    bool once = false;      // may run at most once
+    bool ambiguous = false; // parsers may disagree about its end: no part of it may run
 };
 
 struct received_answer {
@@ -34,7 +34,8 @@
 
 class raw_caller {
 public:
-    /** @param most_bytes written a turn. @param leave_after closes after so many bytes. */
+    /** @param most_bytes maximum written per step. @param leave_after closes the connection after
+     * this many bytes. */
     raw_caller(const Address &server, std::vector<written_request> requests, size_t most_bytes,
                size_t leave_after)
         : socket_(raw_socket::connected_to(server)), requests_(std::move(requests)),
@@ -58,7 +59,7 @@
         }
     }
 
-    /** Whether it has left, was closed, or has all its answers. */
+    /** Whether the connection is closed, by either side or after the last answer. */
     bool done() const {
         return !socket_.open();
     }
@@ -70,7 +71,7 @@
     }
 
 private:
-    /** @return whether a whole answer was there. */
+    /** @return whether a complete answer was read. */
     bool take_answer() {
         if (answers_.size() == requests_.size()) {
             return false;
--- a/tests/online_path/raw_socket.h
+++ b/tests/online_path/raw_socket.h
@@ -1,6 +1,6 @@
 /** \file
- * A socket that a test reads and writes piece by piece, without an event loop, so that the test
- * decides where the bytes of a message are split.
+ * A non-blocking socket without an event loop, so that the test decides where the bytes of a
+ * message are split.
  */
 #pragma once
 
@@ -20,7 +20,7 @@
 
 namespace chalkshed {
 
-/** Owns a descriptor of a socket that never blocks. */
+/** Owns the descriptor of a non-blocking socket. */
 class raw_socket {
 public:
     explicit raw_socket(int descriptor = -1) : descriptor_(descriptor) {}
@@ -47,7 +47,7 @@
         return made;
     }
 
-    /** A small receive buffer makes the other side write in parts. Accepted sockets inherit it. */
+    /** A small receive buffer, inherited by accepted sockets, makes the peer write in parts. */
     static raw_socket listening(int receive_buffer) {
         raw_socket made(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
         setsockopt(made.descriptor_, SOL_SOCKET, SO_RCVBUF, &receive_buffer,
@@ -67,12 +67,12 @@
         return to_address(bound.get());
     }
 
-    /** @return an open socket or one that is not. */
+    /** @return the accepted socket, or one that is not open if no connection is pending. */
     raw_socket accept() const {
         return raw_socket(::accept4(descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     }
 
-    /** @return bytes that the kernel took. */
+    /** @return the number of bytes accepted by the kernel. */
     size_t send(std::string_view bytes) {
         const ssize_t sent = ::send(descriptor_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
         return sent < 0 ? 0 : static_cast<size_t>(sent);
@@ -91,7 +91,7 @@
     bool open() const {
         return descriptor_ >= 0;
     }
-    /** Whether the other side has closed or reset the connection. */
+    /** Whether the peer has closed or reset the connection. */
     bool ended() const {
         return ended_;
     }
--- a/tests/online_path/raw_worker.h
+++ b/tests/online_path/raw_worker.h
@@ -1,7 +1,7 @@
 /** \file
- * A worker that reads requests byte for byte and answers in all the ways that workers do: before it
- * has read the body, in parts, twice at once or where the next answer is due, never, with a
- * refusal, or by breaking the connection.
+ * A worker that records requests byte for byte and answers at random in one of these ways: before
+ * it has read the body, in chunks, twice at once, again in place of the next answer, never, with a
+ * refusal, or by closing or resetting the connection.
  */
 #pragma once
 
@@ -19,7 +19,7 @@
 
 namespace chalkshed {
 
-/** A request as its bytes arrived. */
+/** A request as received. */
 struct received_request {
     std::string method;
     std::string target;
@@ -32,7 +32,7 @@
     }
 };
 
-/** Reads the head of a request strictly. @return nothing when it is malformed. */
+/** Parses the head of a request strictly. @return nothing if it is malformed. */
 inline std::optional<received_request> parse_request_head(std::string_view head) {
     received_request request;
     size_t end = head.find("\r\n");
@@ -74,7 +74,7 @@
         return listener_.local();
     }
 
-    /** Reads and writes a little on each connection. @return whether anything happened. */
+    /** Reads and writes once on each connection. @return whether any bytes were transferred. */
     bool step() {
         bool moved = false;
         for (raw_socket accepted = listener_.accept(); accepted.open();
@@ -90,20 +90,20 @@
         return moved;
     }
 
-    /** From now on all that waits is read and answered at once. */
-    void hurry() {
-        hurried_ = true;
+    /** From now on, reads everything available in each step. */
+    void stop_throttling() {
+        unthrottled_ = true;
     }
 
-    /** Requests that arrived whole, also those that were refused. */
+    /** Requests received completely, including refused ones. */
     const std::vector<received_request> &received() const {
         return received_;
     }
-    /** How often a request began to run, by its id. */
+    /** How often each request was run, by its id. */
     const std::map<std::string, int> &runs() const {
         return runs_;
     }
-    /** What arrived where a request was due and is none; empty when all was well. */
+    /** The last malformed request head; empty if there was none. */
     const std::string &malformed() const {
         return malformed_;
     }
@@ -131,15 +131,16 @@
         std::optional<received_request> request; // its head has been read
         behaviour how = behaviour::kAnswer;
         size_t answer_after = 0; // bytes of the body
-        size_t most_read = 0;    // a turn
+        size_t most_read = 0;    // per step; 0: no limit
         bool answered = false;
-        std::string surplus; // sent where the answer to the next request is due
+        std::string surplus; // sent instead of the answer to the next request
         bool close_when_sent = false;
     };
 
     bool step(connection &one) {
         const size_t before = one.input.size() + one.output.size();
-        one.socket.receive(one.input, hurried_ || one.most_read == 0 ? SIZE_MAX : one.most_read);
+        one.socket.receive(one.input,
+                           unthrottled_ || one.most_read == 0 ? SIZE_MAX : one.most_read);
         const bool read = one.input.size() + one.output.size() != before;
         while (one.socket.open() && take(one)) {
         }
@@ -151,7 +152,7 @@
         return read || sent > 0;
     }
 
-    /** @return whether more may be taken from the input. */
+    /** @return whether a complete request was read, so that another may follow in the input. */
     bool take(connection &one) {
         if (!one.request && !take_head(one)) {
             return false;
@@ -262,7 +263,7 @@
     std::vector<received_request> received_;
     std::map<std::string, int> runs_;
     std::string malformed_;
-    bool hurried_ = false;
+    bool unthrottled_ = false;
 };
 
 } // namespace chalkshed
--- a/tests/serving/changes_blocked_node.h
+++ b/tests/serving/changes_blocked_node.h
@@ -1,5 +1,5 @@
-// A node of a serving cluster that the store answers only in part: its questions about changes are
-// not answered while its other calls are.
+// A node of a serving cluster with a partial store fault: reads of changes fail while its other
+// store calls succeed.
 #pragma once
 
 #include "tests/serving/serving_cluster.h"
--- a/tests/serving/event_stream_test.cc
+++ b/tests/serving/event_stream_test.cc
@@ -8,7 +8,7 @@
 namespace chalkshed {
 namespace {
 
-TEST(EventSplitterTest, HandsOnWholeEventsOnly) {
+TEST(EventSplitterTest, ReturnsCompleteEventsOnly) {
   EventSplitter splitter;
   EXPECT_EQ(splitter.add("id: 1\ndata: a\n"), "");
   EXPECT_TRUE(splitter.inside_event());
@@ -30,7 +30,7 @@
   EXPECT_FALSE(take_event(events));
 }
 
-RC_GTEST_PROP(EventSplitterTest, LosesAndAddsNothingHoweverTheBytesArrive,
+RC_GTEST_PROP(EventSplitterTest, OutputEqualsInputForAnyChunking,
               (const std::vector<uint8_t>& sizes)) {
   const std::string stream = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n";
   EventSplitter splitter;
--- a/tests/serving/fault_campaign_test.cc
+++ b/tests/serving/fault_campaign_test.cc
@@ -1,7 +1,8 @@
-// Whole clusters of serving nodes under random faults in virtual time, checked against what must
-// hold: items are listed once with their whole text and keep their positions; what must run once
-// runs at most once; "not run" is true; answers are whole or visibly broken; configurations and
-// leaving workers are respected. A failing seed replays the same.
+// Clusters of serving nodes with random faults in virtual time. Checked invariants: every item is
+// listed once, with its complete text and at a stable position; non-repeatable requests run at most
+// once; requests reported as not run did not run; answers are complete or visibly aborted; the
+// configuration version never goes back; draining workers get no new requests. A seed determines
+// the whole run, so that a failure can be reproduced.
 #include <gtest/gtest.h>
 
 #include "src/jobs/job_rows.h"
@@ -16,7 +17,7 @@
 constexpr Duration kFaultTime = seconds(20);
 constexpr Duration kSettleTime = seconds(25);
 constexpr Duration kSilence = milliseconds(2500);
-constexpr Duration kLeavingGrace = seconds(2);
+constexpr Duration kDrainingGrace = seconds(2);
 
 std::string whole_text() {
   std::string text = "d1";
@@ -44,18 +45,18 @@
   void run() {
     const MonotonicTime begin = cluster_.clock.monotonic_now();
     const MonotonicTime end = begin + kFaultTime;
-    bool healed = false;
+    bool cleared = false;
     while (cluster_.clock.monotonic_now() < end) {
-      // Nodes and store are sound in the second half; workers leave and fail in both.
-      calm_ = cluster_.clock.monotonic_now() - begin > kFaultTime / 2;
-      if (calm_ && !std::exchange(healed, true)) {
-        heal();
+      // Nodes and store have no faults in the second half; workers drain and fail in both halves.
+      fault_free_ = cluster_.clock.monotonic_now() - begin > kFaultTime / 2;
+      if (fault_free_ && !std::exchange(cleared, true)) {
+        clear_faults();
       }
-      act();
+      take_random_action();
       cluster_.clock.run_for(milliseconds(20 + static_cast<int64_t>(random_.below(150))));
       check_configuration();
     }
-    heal();
+    clear_faults();
     cluster_.clock.run_for(kSettleTime);
     check_jobs();
     check_online();
@@ -69,11 +70,11 @@
   struct Job {
     size_t items = 0;
     bool accepted = false;
-    bool refused = true;  // at each send so far, with the promise that nothing runs
+    bool refused = true;  // every submission so far was rejected as certainly not run
     int unanswered = 0;
     bool ended = false;
     std::optional<MonotonicTime> end_acknowledged;
-    std::vector<std::string> listed;  // as read so far
+    std::vector<std::string> listed;  // items by position, as read so far
   };
 
   std::string any_node() {
@@ -86,7 +87,7 @@
     return alive.empty() ? "" : alive[random_.below(alive.size())];
   }
 
-  void act() {
+  void take_random_action() {
     switch (random_.below(16)) {
       case 0:
       case 1:
@@ -101,13 +102,13 @@
         }
         break;
       case 4:
-        if (!calm_) {
-          disturb_node();
+        if (!fault_free_) {
+          inject_node_fault();
         }
         break;
       case 5:
-        if (!calm_) {
-          disturb_store();
+        if (!fault_free_) {
+          inject_store_fault();
         }
         break;
       case 6:
@@ -152,7 +153,7 @@
       job.items = 1 + random_.below(8);
     }
     if (!name.empty()) {
-      ++job.unanswered;  // a node that is lost says nothing, and promises nothing
+      ++job.unanswered;  // a killed node never answers, so the job may have been accepted
       cluster_.node(name).jobs().submit(
           cluster_.job(id, job.items), [&job](const Expected<std::monostate>& accepted) {
             job.accepted = job.accepted || accepted.has_value();
@@ -199,7 +200,7 @@
     if (name.empty() || !jobs_.contains(id)) {
       return;
     }
-    jobs_[id].ended = true;  // from now on it may be ended
+    jobs_[id].ended = true;  // the call may take effect from now on, even without an answer
     cluster_.node(name).jobs().end(id, [this, id](const Expected<std::monostate>& ended) {
       Job& job = jobs_[id];
       if (ended && !job.end_acknowledged) {
@@ -208,20 +209,20 @@
     });
   }
 
-  void disturb_node() {
+  void inject_node_fault() {
     const std::string name = "n" + std::to_string(random_.below(3));
     ClusterNode* node = cluster_.nodes[name].get();
     if (node == nullptr) {
       cluster_.start_node(name);
       return;
     }
-    disturbed_ = cluster_.clock.monotonic_now();
+    last_fault_ = cluster_.clock.monotonic_now();
     switch (random_.below(6)) {
       case 0:
         cluster_.kill_node(name);
         break;
       case 4:
-        // A planned stop: the process ends when it says so and starts again.
+        // A planned restart: the process exits when the drain is done and starts again.
         node->node.begin_drain([this, name] {
           call_after(cluster_.loop, kStep, [this, name] { cluster_.start_node(name); });
         });
@@ -233,8 +234,8 @@
         node->dispatcher.frozen() ? node->dispatcher.thaw() : node->dispatcher.freeze();
         break;
       case 2:
-        store_cut_[name] = !store_cut_[name];
-        node->store.set_cut(store_cut_[name]);
+        store_disconnected_[name] = !store_disconnected_[name];
+        node->store.set_cut(store_disconnected_[name]);
         break;
       default:
         if (!cluster_.hub.cut.erase(node->address)) {
@@ -244,10 +245,10 @@
     }
   }
 
-  void disturb_store() {
+  void inject_store_fault() {
     StoreTrouble& trouble = cluster_.shared.trouble;
     trouble = StoreTrouble();
-    disturbed_ = cluster_.clock.monotonic_now();
+    last_fault_ = cluster_.clock.monotonic_now();
     switch (random_.below(8)) {
       case 0:
         trouble.down = true;
@@ -269,7 +270,7 @@
         cluster_.shared.rows.drop_history();
         break;
       case 6: {
-        // Old reads, and no history to catch up from.
+        // Stale reads, and no change history to catch up from.
         const StoreVersion now = cluster_.shared.rows.version();
         trouble.read_as_of = now - random_.below(std::min<StoreVersion>(now, 30));
         cluster_.shared.rows.drop_history();
@@ -284,23 +285,23 @@
   void change_workers() {
     const size_t number = random_.below(4);
     const std::string id = "i-" + std::to_string(number);
-    const bool leaves = !leaving_.contains(id);
+    const bool leaves = !draining_.contains(id);
     cluster_.write_worker(id, number, leaves ? "draining" : "ready");
     if (leaves) {
-      leaving_[id] = cluster_.clock.monotonic_now();
+      draining_[id] = cluster_.clock.monotonic_now();
     } else {
-      leaving_.erase(id);
+      draining_.erase(id);
     }
-    if (leaving_.size() == 4) {
+    if (draining_.size() == 4) {
       cluster_.write_worker(id, number, "ready");
-      leaving_.erase(id);
+      draining_.erase(id);
     }
   }
 
   void receive(ScriptedCall& call) {
     const std::string id = call.header(platform::kRequestId);
     const std::string worker = call.header(platform::kExpectInstance);
-    check_leaving(worker);
+    check_draining(worker);
     check_ended(id);
     switch (random_.below(20)) {
       case 0:
@@ -315,7 +316,7 @@
         });
         return;
       case 2:
-        ++runs_[id];  // never answers; the connection's own time-out ends it
+        ++runs_[id];  // never answers; the connection times out
         call_after(cluster_.loop, kSilence, [&call] {
           if (call.open()) {
             call.fail(Ran::kUnknown);
@@ -323,7 +324,7 @@
         });
         return;
       case 4:
-        // It runs, and fails with a status that callers would take for a promise.
+        // The request runs and fails with a status that callers would take to mean "not run".
         if (id.starts_with("r")) {
           ++runs_[id];
           constexpr std::array<int, 3> kStatuses = {408, 429, 503};
@@ -339,7 +340,7 @@
         refuse_later(call);
         return;
       case 3:
-        // A surplus answer of an earlier request comes in the place of this one's.
+        // The connection delivers a stray answer to an earlier request instead of this one's.
         ++runs_[id];
         call_after(cluster_.loop, kStep, [&call] {
           if (call.open()) {
@@ -382,7 +383,7 @@
       call.callbacks->on_body("id: " + std::to_string(next) + "\nda");
       const bool events = call.request.path != "/plain/x" && call.request.path != "/once/x";
       if (events && random_.below(2) == 0) {
-        call.end();  // framed as if it were whole
+        call.end();  // the framing claims a complete body
       } else {
         call.fail(Ran::kUnknown);
       }
@@ -392,29 +393,30 @@
     call_after(cluster_.loop, kStep, [this, &call, next] { play(call, next + 1); });
   }
 
-  // Holds while nodes and store have been undisturbed for some seconds.
-  void check_leaving(const std::string& worker) {
-    constexpr Duration kInTouch = seconds(3);
-    const auto left = leaving_.find(worker);
+  // Draining workers get no new requests. Checked only after some seconds without node and store
+  // faults.
+  void check_draining(const std::string& worker) {
+    constexpr Duration kMinUndisturbed = seconds(3);
+    const auto left = draining_.find(worker);
     const MonotonicTime now = cluster_.clock.monotonic_now();
-    if (left == leaving_.end() || !calm_ || now - disturbed_ < kInTouch) {
+    if (left == draining_.end() || !fault_free_ || now - last_fault_ < kMinUndisturbed) {
       return;
     }
-    EXPECT_LE((now - left->second).count(), kLeavingGrace.count())
-        << worker << " was sent a request long after it said that it leaves";
+    EXPECT_LE((now - left->second).count(), kDrainingGrace.count())
+        << worker << " was sent a request long after it started to drain";
   }
 
-  // An item of a job that was ended is not started any more.
+  // No item of an ended job is started any more.
   void check_ended(const std::string& request) {
     constexpr Duration kCancelTime = seconds(3);
     const auto job = jobs_.find(request.substr(0, request.find('-')));
     const MonotonicTime now = cluster_.clock.monotonic_now();
-    if (job == jobs_.end() || !job->second.end_acknowledged || !calm_ ||
-        now - disturbed_ < kCancelTime) {
+    if (job == jobs_.end() || !job->second.end_acknowledged || !fault_free_ ||
+        now - last_fault_ < kCancelTime) {
       return;
     }
     EXPECT_LE((now - *job->second.end_acknowledged).count(), Duration(kCancelTime).count())
-        << request << " was started although its job had ended";
+        << request << " was started after its job had ended";
   }
 
   void check_configuration() {
@@ -424,12 +426,12 @@
       }
       const uint64_t now = node->node.routes() ? node->node.routes()->version() : 0;
       uint64_t& before = versions_[node->node.peers().own_session()];
-      EXPECT_GE(now, before) << name << " went back";
+      EXPECT_GE(now, before) << name << " went back to an older configuration";
       before = now;
     }
   }
 
-  void heal() {
+  void clear_faults() {
     cluster_.shared.trouble = StoreTrouble();
     cluster_.hub.cut.clear();
     cluster_.hub.lose_every = 0;
@@ -447,7 +449,7 @@
     for (size_t number = 0; number < 4; ++number) {
       cluster_.write_worker("i-" + std::to_string(number), number, "ready");
     }
-    leaving_.clear();
+    draining_.clear();
   }
 
   void check_jobs() {
@@ -484,7 +486,7 @@
   void check_online() {
     for (const auto& [id, request] : online_) {
       const SeenAnswer& seen = *request.seen;
-      EXPECT_TRUE(seen.finished || seen.aborted) << id << " has no end";
+      EXPECT_TRUE(seen.finished || seen.aborted) << id << " has no final answer";
       const bool streams = request.path != "/plain/x" && request.path != "/once/x";
       if (seen.finished && seen.status == 200) {
         EXPECT_EQ(seen.body, whole_stream()) << id << (streams ? " streamed" : "");
@@ -493,7 +495,7 @@
         EXPECT_LE(runs_[id], 1) << id << " ran more than once";
       }
       EXPECT_FALSE(promises_not_run(seen.status) && runs_[id] > 0)
-          << id << " ran although it was told " << seen.status;
+          << id << " ran although its answer had status " << seen.status;
     }
   }
 
@@ -501,11 +503,11 @@
   std::map<std::string, Online> online_;
   std::map<std::string, Job> jobs_;
   std::map<std::string, int> runs_;
-  std::map<std::string, MonotonicTime> leaving_;
-  std::map<std::string, bool> store_cut_;
+  std::map<std::string, MonotonicTime> draining_;
+  std::map<std::string, bool> store_disconnected_;
   std::map<std::string, uint64_t> versions_;  // by session
-  MonotonicTime disturbed_{};
-  bool calm_ = false;
+  MonotonicTime last_fault_{};
+  bool fault_free_ = false;
   uint64_t version_ = 1;
   uint64_t requests_ = 0;
   ServingCluster cluster_;
@@ -513,7 +515,7 @@
 
 class FaultCampaignTest : public testing::TestWithParam<uint64_t> {};
 
-TEST_P(FaultCampaignTest, WhatMustHoldHolds) { Campaign(GetParam()).run(); }
+TEST_P(FaultCampaignTest, InvariantsHold) { Campaign(GetParam()).run(); }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FaultCampaignTest, testing::Range<uint64_t>(1, kSeeds + 1));
 
--- a/tests/serving/request_relay_test.cc
+++ b/tests/serving/request_relay_test.cc
@@ -16,7 +16,7 @@
   ServingCluster cluster{1, 2};
 };
 
-TEST_F(RequestRelayTest, AnAnswerComesBackByteForByteWithItsHead) {
+TEST_F(RequestRelayTest, AnAnswerIsForwardedByteForByteWithItsHead) {
   const SeenAnswerPtr seen = cluster.request("/plain/x");
   EXPECT_EQ(last().request.path, "/plain/x");
   EXPECT_EQ(last().request.body, "body of r1");
@@ -31,7 +31,7 @@
   EXPECT_TRUE(seen->finished);
 }
 
-TEST_F(RequestRelayTest, AWorkerGetsWhatIsLeftOfTheTime) {
+TEST_F(RequestRelayTest, AWorkerGetsTheRemainingTime) {
   cluster.request("/once/x");
   EXPECT_EQ(last().header(platform::kDeadline), "4000");
   cluster.clock.run_for(milliseconds(1500));
@@ -39,7 +39,7 @@
   EXPECT_EQ(last().header(platform::kDeadline), "2500");
 }
 
-TEST_F(RequestRelayTest, ARefusalByAWorkerLeadsToAnother) {
+TEST_F(RequestRelayTest, ARequestRefusedByAWorkerIsSentToAnother) {
   const SeenAnswerPtr seen = cluster.request("/once/x");
   const Address first = last().worker;
   last().refuse();
@@ -50,7 +50,7 @@
   EXPECT_EQ(seen->status, 200);
 }
 
-TEST_F(RequestRelayTest, WhenAllRefuseTheCallerHearsThatItDidNotRunAndWhenToComeBack) {
+TEST_F(RequestRelayTest, WhenAllWorkersRefuseTheCallerGetsNotRunAndRetryAfter) {
   const SeenAnswerPtr seen = cluster.request("/once/x");
   while (seen->status == 0) {
     last().refuse();
@@ -59,7 +59,7 @@
   EXPECT_FALSE(seen->header("Retry-After").empty());
 }
 
-TEST_F(RequestRelayTest, WhatMayHaveRunOnceIsNeverSentAgainAndNeverCalledNotRun) {
+TEST_F(RequestRelayTest, ANonRepeatableRequestThatMayHaveRunIsNotRetriedNorReportedAsNotRun) {
   const SeenAnswerPtr seen = cluster.request("/once/x");
   last().fail(Ran::kUnknown);
   settle();
@@ -67,20 +67,20 @@
   EXPECT_EQ(seen->status, 502);
 }
 
-// A worker that has run a request may end it with any status. A caller reads some of them as a
-// promise that nothing ran, and sends the request again.
-TEST_F(RequestRelayTest, AWorkersOwnStatusIsNotHandedOnWhereItWouldPromiseThatNothingRan) {
+// A worker that has run a request may answer with any status. Callers take some statuses to mean
+// that nothing ran, and resend the request.
+TEST_F(RequestRelayTest, AWorkersStatusIsNotForwardedIfItMeansNotRunToCallers) {
   for (const int status : {408, 421, 429, 503}) {
     const SeenAnswerPtr seen = cluster.request("/once/x", "r" + std::to_string(status));
     last().begin(status);
     last().end();
     EXPECT_EQ(seen->status, 502) << status;
-    EXPECT_EQ(seen->header(platform::kSignature), "") << "it is not the worker's answer";
+    EXPECT_EQ(seen->header(platform::kSignature), "") << "the answer is not the worker's";
   }
-  EXPECT_EQ(sends(), 4U) << "sent once each";
+  EXPECT_EQ(sends(), 4U) << "each request is sent once";
 }
 
-TEST_F(RequestRelayTest, ARepeatableRequestGoesElsewhereUponAWorkersOwnOverload) {
+TEST_F(RequestRelayTest, ARepeatableRequestIsRetriedElsewhereWhenAWorkerIsOverloaded) {
   const SeenAnswerPtr seen = cluster.request("/plain/x");
   last().begin(429);
   last().end();
@@ -90,8 +90,8 @@
   EXPECT_EQ(seen->status, 200);
 }
 
-// Its first run broke off; that the second worker did not run it says nothing of the first.
-TEST_F(RequestRelayTest, ARefusalBehindARunThatBrokeOffIsNoPromise) {
+// The first run was interrupted. The second worker's refusal says nothing about the first run.
+TEST_F(RequestRelayTest, ARefusalAfterAnInterruptedRunIsNotReportedAsNotRun) {
   const SeenAnswerPtr seen = cluster.request("/plain/x");
   last().fail(Ran::kUnknown);
   while (seen->status == 0) {
@@ -100,7 +100,7 @@
   EXPECT_EQ(seen->status, 502);
 }
 
-TEST_F(RequestRelayTest, AnAnswerThatContradictsItselfIsNoRefusal) {
+TEST_F(RequestRelayTest, AContradictoryAnswerIsNotTreatedAsARefusal) {
   const SeenAnswerPtr signed_refusal = cluster.request("/once/x", "r1");
   HttpHeaders head = last().head();
   head.push_back({platform::kNotExecuted, "1"});
@@ -116,7 +116,7 @@
   EXPECT_EQ(sends(), 2U);
 }
 
-TEST_F(RequestRelayTest, WhatCouldNotBeConnectedIsSentElsewhereAlthoughItMustRunOnce) {
+TEST_F(RequestRelayTest, AFailedConnectionIsRetriedElsewhereEvenForANonRepeatableRequest) {
   const SeenAnswerPtr seen = cluster.request("/once/x");
   last().fail(Ran::kNo);
   ASSERT_EQ(sends(), 2U);
@@ -125,7 +125,7 @@
   EXPECT_EQ(seen->status, 200);
 }
 
-TEST_F(RequestRelayTest, ARepeatableRequestIsTriedAsOftenAsItsRouteAllows) {
+TEST_F(RequestRelayTest, ARepeatableRequestRunsAsOftenAsItsRouteAllows) {
   const SeenAnswerPtr seen = cluster.request("/plain/x");
   last().fail(Ran::kUnknown);
   ASSERT_EQ(sends(), 2U);
@@ -134,14 +134,14 @@
   EXPECT_EQ(seen->status, 502);
 }
 
-TEST_F(RequestRelayTest, AnAnswerWithoutProofOfItsWorkerIsNoSuccess) {
+TEST_F(RequestRelayTest, AnAnswerWithoutASignatureIsRejected) {
   const SeenAnswerPtr seen = cluster.request("/once/x");
   last().callbacks->on_headers(200, {{platform::kRequestId, "r1"}});
   settle();
   EXPECT_EQ(seen->status, 502);
 }
 
-TEST_F(RequestRelayTest, TheAnswerToAnotherRequestIsNotHandedOn) {
+TEST_F(RequestRelayTest, TheAnswerToAnotherRequestIsNotForwarded) {
   const SeenAnswerPtr seen = cluster.request("/once/x");
   last().callbacks->on_headers(
       200, {{platform::kRequestId, "another"}, {platform::kSignature, "signed"}});
@@ -150,7 +150,7 @@
   EXPECT_TRUE(seen->header(platform::kSignature).empty());
 }
 
-TEST_F(RequestRelayTest, AnEncodedBodyIsNotTheWorkersBody) {
+TEST_F(RequestRelayTest, ABodyWithAContentEncodingIsRejected) {
   const SeenAnswerPtr seen = cluster.request("/once/x");
   HttpHeaders head = last().head();
   head.push_back({"Content-Encoding", "gzip"});
@@ -159,7 +159,7 @@
   EXPECT_EQ(seen->status, 502);
 }
 
-TEST_F(RequestRelayTest, ABrokenStreamGoesOnElsewhereBehindItsLastWholeEvent) {
+TEST_F(RequestRelayTest, AnInterruptedStreamResumesElsewhereAfterItsLastCompleteEvent) {
   const SeenAnswerPtr seen = cluster.request("/stream/x");
   last().begin();
   last().event(1);
@@ -175,7 +175,7 @@
   EXPECT_TRUE(seen->finished);
 }
 
-TEST_F(RequestRelayTest, EventsThatAResumedRunRepeatsAreLeftOut) {
+TEST_F(RequestRelayTest, EventsRepeatedByAResumedRunAreDropped) {
   const SeenAnswerPtr seen = cluster.request("/stream/x");
   last().begin();
   last().event(1);
@@ -187,7 +187,7 @@
   EXPECT_EQ(seen->body, "id: 1\ndata: d1\n\nid: 2\ndata: d2\n\n");
 }
 
-TEST_F(RequestRelayTest, AStreamThatMayNotBeResumedEndsVisiblyBroken) {
+TEST_F(RequestRelayTest, AnInterruptedStreamThatIsNotResumableIsAborted) {
   const SeenAnswerPtr seen = cluster.request("/fixed/x");
   last().begin();
   last().event(1);
@@ -197,7 +197,7 @@
   EXPECT_FALSE(seen->finished);
 }
 
-TEST_F(RequestRelayTest, AStreamThatEndsInsideAnEventIsNotComplete) {
+TEST_F(RequestRelayTest, AStreamThatEndsInsideAnEventIsAborted) {
   const SeenAnswerPtr seen = cluster.request("/fixed/x");
   last().begin();
   last().event(1);
@@ -216,7 +216,7 @@
   EXPECT_FALSE(last().open());
 }
 
-TEST_F(RequestRelayTest, ARepeatableRequestLeavesASilentWorkerAndStopsItsWork) {
+TEST_F(RequestRelayTest, ARepeatableRequestLeavesASilentWorkerAndCancelsItsRun) {
   const SeenAnswerPtr seen = cluster.request("/plain/x");
   ScriptedCall& silent = last();
   cluster.clock.run_for(milliseconds(1000));
@@ -227,7 +227,7 @@
   EXPECT_EQ(seen->status, 200);
 }
 
-TEST_F(RequestRelayTest, AStreamThatFallsSilentGoesOnElsewhere) {
+TEST_F(RequestRelayTest, AStalledStreamResumesElsewhere) {
   const SeenAnswerPtr seen = cluster.request("/stream/x");
   last().begin();
   last().event(1);
@@ -240,14 +240,14 @@
   EXPECT_EQ(last().header(platform::kLastEventId), "2");
 }
 
-TEST_F(RequestRelayTest, WhatMustRunOnceWaitsForASilentWorker) {
+TEST_F(RequestRelayTest, ANonRepeatableRequestWaitsForASilentWorker) {
   cluster.request("/once/x");
   cluster.clock.run_for(milliseconds(3900));
   EXPECT_EQ(sends(), 1U);
   EXPECT_TRUE(last().open());
 }
 
-TEST_F(RequestRelayTest, WorkEndsWhenItsCallerLeaves) {
+TEST_F(RequestRelayTest, ARunIsCancelledWhenItsCallerDisconnects) {
   const SeenAnswerPtr seen = cluster.request("/stream/x");
   last().begin();
   seen->on_closed();
@@ -256,24 +256,24 @@
   EXPECT_EQ(cluster.node().gateway().requests_in_progress(), 0U);
 }
 
-TEST_F(RequestRelayTest, WithoutAFreePlaceRequestsWaitByPriorityAndNoneIsLost) {
+TEST_F(RequestRelayTest, WithoutAFreeSlotRequestsWaitByPriorityAndNoneIsLost) {
   constexpr int kRequests = 10;
   std::vector<SeenAnswerPtr> seen;
   seen.reserve(kRequests);
   for (int number = 0; number < kRequests; ++number) {
     seen.push_back(cluster.request("/once/x", "r" + std::to_string(number)));
   }
-  EXPECT_EQ(sends(), 8U);  // two workers of four places
+  EXPECT_EQ(sends(), 8U);  // two workers with four slots each
   cluster.workers.calls.front().begin();
   cluster.workers.calls.front().end();
   settle();
   EXPECT_EQ(sends(), 9U);
-  // The last does not wait for longer than its share of the target: it stands at a worker then.
+  // The last request waits no longer than its share of the target and is then queued at a worker.
   cluster.clock.run_for(milliseconds(300));
   EXPECT_EQ(sends(), 10U);
 }
 
-TEST_F(RequestRelayTest, APlannedStopServesOnWhileCallersStillComeAndCutsNothing) {
+TEST_F(RequestRelayTest, APlannedStopServesNewCallersForAWhileAndAbortsNothing) {
   const SeenAnswerPtr before = cluster.request("/once/x", "before");
   bool stopped = false;
   cluster.node().begin_drain([&] { stopped = true; });
@@ -296,7 +296,7 @@
   EXPECT_EQ(after->status, 200);
 }
 
-TEST_F(RequestRelayTest, APlannedStopEndsWithinItsGraceWhateverStillRuns) {
+TEST_F(RequestRelayTest, APlannedStopEndsWithinItsGracePeriodDespiteRunningRequests) {
   cluster.request("/stream/x");
   bool stopped = false;
   cluster.node().begin_drain([&] { stopped = true; });
--- a/tests/serving/serving_cluster.h
+++ b/tests/serving/serving_cluster.h
@@ -27,12 +27,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A call to a scripted worker, driven by the test or by a plan.
+// A call to a scripted worker, answered by the test or by a callback.
 struct ScriptedCall {
   Address worker;
   HttpRequest request;
-  HttpCallCallbacks* callbacks = nullptr;  // null once abandoned or ended
-  std::string sender;                      // session of the node
+  HttpCallCallbacks* callbacks = nullptr;  // null once cancelled or ended
+  std::string sender;                      // session of the calling node
 
   bool open() const { return callbacks != nullptr; }
   std::string header(std::string_view name) const {
@@ -77,8 +77,8 @@
   }
 
   std::list<ScriptedCall> calls;
-  std::string sender;                          // of the call that is being made
-  std::function<void(ScriptedCall&)> on_call;  // must not use the callbacks at once
+  std::string sender;                          // session of the node that is calling
+  std::function<void(ScriptedCall&)> on_call;  // must not invoke the callbacks synchronously
   std::function<void(const Address&, const HttpRequest&, Callback<HttpResponse>)> on_fetch;
 
  private:
@@ -94,7 +94,7 @@
   };
 };
 
-// The calls of one node.
+// The HTTP client of one node: records its session with each call.
 class NodeCalls : public HttpClient {
  public:
   NodeCalls(ScriptedWorkers& workers, std::string session)
@@ -114,7 +114,7 @@
   const std::string session_;
 };
 
-// Datagrams between the nodes of one cluster, delivered after a millisecond.
+// Delivers datagrams between the nodes of a cluster with a delay of a millisecond.
 class DatagramHub {
  public:
   explicit DatagramHub(Dispatcher& dispatcher) : dispatcher_(dispatcher) {}
@@ -132,7 +132,7 @@
   }
   std::map<Address, DatagramTransport::Receiver> receivers;
   std::set<Address> cut;
-  uint64_t lose_every = 0;  // each so many datagrams one is lost; 0: none
+  uint64_t lose_every = 0;                                  // drops every n-th datagram; 0: none
   std::map<std::pair<std::string, std::string>, int> sent;  // by sender and receiver
 
  private:
@@ -168,14 +168,14 @@
 
 inline constexpr uint16_t kCallerPort = 8144;
 
-// The tables as a node on the platform follows them.
+// The tables that a node on the platform watches.
 inline WatchedTables platform_tables() {
   return {platform::kOperatorTable, platform::kConfigurationKey,
           &platform::decode_routes, {platform::kEvacuationPrefix, &platform::check_evacuation},
           platform::kWorkerTable,   &platform::decode_worker};
 }
 
-// One node with its own loop, which can be frozen or destroyed.
+// One node with its own event loop, which can be frozen or destroyed.
 struct ClusterNode {
   ClusterNode(VirtualClock& clock, SharedStore& shared, ScriptedWorkers& workers, DatagramHub& hub,
               const std::string& name, uint64_t start, const ServingNodeKnobs& knobs = {},
@@ -211,7 +211,7 @@
     write_configuration(1);
     workers.on_fetch = [this](const Address& server, const HttpRequest& request,
                               Callback<HttpResponse> callback) {
-      hand_on(server, request, std::move(callback));
+      deliver_to_peer(server, request, std::move(callback));
     };
     for (size_t index = 0; index < worker_count; ++index) {
       write_worker("i-" + std::to_string(index), index, "ready");
@@ -222,7 +222,7 @@
     clock.run_for(milliseconds(200));
   }
 
-  // @param change of the parsed configuration before it is written.
+  // @param change modifies the parsed configuration before it is written.
   void write_configuration(uint64_t version,
                            const std::function<void(nlohmann::json&)>& change = nullptr) {
     nlohmann::json configuration = nlohmann::json::parse(R"({
@@ -308,14 +308,14 @@
     return submission;
   }
 
-  // Runs every call to its end: `events` events, each after `step`.
+  // Answers every call with `events` events, one after each `step`.
   void answer_all(uint64_t events, Duration step) {
     workers.on_call = [this, events, step](ScriptedCall& call) {
       call_after(loop, step, [this, &call, events, step] { play(call, events, step); });
     };
   }
 
-  ServingNodeKnobs node_knobs;  // of nodes that start from now on
+  ServingNodeKnobs node_knobs;  // used by nodes started after a change
   VirtualClock clock;
   VirtualDispatcher loop{clock};
   SharedStore shared;
@@ -323,8 +323,8 @@
   ScriptedWorkers workers;
   std::map<std::string, std::unique_ptr<ClusterNode>> nodes;
   int forwarded_jobs = 0;
-  int handed_pages = 0;      // questions of nodes to their peers
-  bool peers_answer = true;  // calls from node to node arrive; their datagrams do in any case
+  int handed_pages = 0;      // requests between nodes
+  bool peers_answer = true;  // false: HTTP calls between nodes fail; datagrams still arrive
 
  private:
   void play(ScriptedCall& call, uint64_t events, Duration step) {
@@ -347,11 +347,12 @@
     call_after(loop, step,
                [this, &call, next, events, step] { play_event(call, next + 1, events, step); });
   }
-  // A job that one node hands to another, which answers as its ingress does.
-  void hand_on(const Address& server, const HttpRequest& request, Callback<HttpResponse> callback) {
+  // Delivers a request of one node to another: a peer call, or a forwarded job.
+  void deliver_to_peer(const Address& server, const HttpRequest& request,
+                       Callback<HttpResponse> callback) {
     const auto found = nodes.find(server.ip);
     if (!peers_answer) {
-      callback(tl::unexpected(not_run(ErrorKind::kUnavailable, "nobody listens", "none")));
+      callback(tl::unexpected(not_run(ErrorKind::kUnavailable, "connection refused", "none")));
       return;
     }
     if (found != nodes.end() && found->second && server == found->second->address) {
@@ -363,7 +364,7 @@
     }
     ++forwarded_jobs;
     if (found == nodes.end() || !found->second || server.port != kCallerPort) {
-      callback(tl::unexpected(not_run(ErrorKind::kUnavailable, "nobody listens", "none")));
+      callback(tl::unexpected(not_run(ErrorKind::kUnavailable, "connection refused", "none")));
       return;
     }
     RequestJob job;
@@ -376,7 +377,7 @@
     job.sent_as_of = forwarded ? std::stoull(std::string(*forwarded)) : 0;
     job.items = *job_wire().decode_items(job.host, job.content);
     auto answered = std::make_shared<bool>(false);
-    // The connection breaks when the peer is killed before it has answered.
+    // A peer that is killed before it answers looks like a timeout to the sender.
     call_after(loop, forward_knobs().answer_timeout, [callback, answered] {
       if (!std::exchange(*answered, true)) {
         callback(tl::unexpected(maybe_run(ErrorKind::kUpstreamFailed, "no answer", "none")));
--- a/tests/serving/worker_set_test.cc
+++ b/tests/serving/worker_set_test.cc
@@ -34,19 +34,19 @@
   WorkerSet workers{clock, random, "zone-a"};
 };
 
-TEST_F(WorkerSetTest, RequestsGoWhereFewestAreInFlight) {
-  constexpr int kMoreThanAnOrderDecides = 20;
+TEST_F(WorkerSetTest, RequestsGoToTheWorkerWithTheFewestInFlight) {
+  constexpr int kMoreThanTheOrderOffset = 20;
   workers.update(record("i-1", 100));
   workers.update(record("i-2", 100));
   for (const char* busy : {"i-1", "i-2"}) {
     const uint64_t hash = workers.find(busy)->hash;
-    workers.add_peer_load(hash, kMoreThanAnOrderDecides, 0);
+    workers.add_peer_load(hash, kMoreThanTheOrderOffset, 0);
     EXPECT_NE(take()->worker().record.incarnation, busy);
-    workers.add_peer_load(hash, -kMoreThanAnOrderDecides, 0);
+    workers.add_peer_load(hash, -kMoreThanTheOrderOffset, 0);
   }
 }
 
-// All see the same worker with one request fewer; it has no room for a request of each of them.
+// All nodes see the same worker with one request fewer, which has no room for a request of each.
 TEST_F(WorkerSetTest, ManyNodesWithTheSameViewSpreadOverNearlyEqualWorkers) {
   constexpr uint64_t kNodes = 60;
   constexpr int kWorkers = 10;
@@ -67,7 +67,7 @@
   EXPECT_GE(chosen.size(), 8U);
 }
 
-TEST_F(WorkerSetTest, NoPlaceIsGivenBeyondTheSlots) {
+TEST_F(WorkerSetTest, NoMoreSlotsAreGivenThanTheWorkerHas) {
   workers.update(record("i-1"));
   const WorkerSlotPtr first = take();
   WorkerSlotPtr second = take();
@@ -76,7 +76,7 @@
   EXPECT_NE(take(), nullptr);
 }
 
-TEST_F(WorkerSetTest, WhatOtherNodesHaveInFlightTakesPlaces) {
+TEST_F(WorkerSetTest, RequestsOfOtherNodesOccupySlots) {
   workers.update(record("i-1"));
   const uint64_t hash = workers.find("i-1")->hash;
   workers.add_peer_load(hash, 1, 1);
@@ -85,7 +85,7 @@
   EXPECT_NE(take(), nullptr);
 }
 
-TEST_F(WorkerSetTest, ALeavingWorkerTakesNothing) {
+TEST_F(WorkerSetTest, ADrainingWorkerGetsNoRequests) {
   workers.update(record("i-1"));
   WorkerRecord leaving = record("i-1");
   leaving.leaving = true;
@@ -93,7 +93,7 @@
   EXPECT_EQ(take(true), nullptr);
 }
 
-TEST_F(WorkerSetTest, AnUnlistedWorkerTakesNothingWhileAnotherIsListedThoughFull) {
+TEST_F(WorkerSetTest, AnUnlistedWorkerGetsNoRequestsWhileAnotherIsListedEvenIfFull) {
   workers.update(record("i-1", 1));
   workers.update(record("i-2", 8));
   workers.remove("i-2");
@@ -103,7 +103,7 @@
   EXPECT_EQ(take(true)->worker().record.incarnation, "i-1");
 }
 
-TEST_F(WorkerSetTest, WhenAllRecordsVanishTheLastKnownServeForAWhile) {
+TEST_F(WorkerSetTest, WhenAllRecordsDisappearTheLastKnownWorkersServeForAWhile) {
   workers.update(record("i-1"));
   workers.remove("i-1");
   EXPECT_NE(take(), nullptr);
@@ -112,7 +112,7 @@
   EXPECT_EQ(workers.find("i-1"), nullptr);
 }
 
-TEST_F(WorkerSetTest, BatchLeavesMoreFreeUntilTheNodeKnowsTheBursts) {
+TEST_F(WorkerSetTest, BatchLeavesMoreFreeUntilTheNodeHasAHistoryOfBursts) {
   workers.update(record("i-1", 8));
   std::vector<WorkerSlotPtr> places;
   for (WorkerSlotPtr place = take(false, WorkClass::kBatch); place;
@@ -124,7 +124,7 @@
   EXPECT_NE(take(false, WorkClass::kBatch), nullptr);
 }
 
-TEST_F(WorkerSetTest, BatchLeavesPlacesFree) {
+TEST_F(WorkerSetTest, BatchLeavesSlotsFree) {
   clock.run_for(std::chrono::seconds(13));
   workers.update(record("i-1", 4));
   std::vector<WorkerSlotPtr> places;
@@ -136,8 +136,8 @@
   EXPECT_NE(take(), nullptr);
 }
 
-TEST_F(WorkerSetTest, BatchLeavesRoomForTheLastBurstAndForgetsItWithoutFurtherRequests) {
-  clock.run_for(std::chrono::seconds(2));  // what it hears first is no burst
+TEST_F(WorkerSetTest, BatchLeavesRoomForTheLastBurstUntilItIsForgotten) {
+  clock.run_for(std::chrono::seconds(2));  // past the initial sync, whose growth is not counted
   workers.update(record("i-1", 8));
   constexpr int kBurst = 4;
   std::vector<WorkerSlotPtr> burst;
@@ -146,7 +146,7 @@
     burst.push_back(take());
   }
   burst.clear();
-  clock.run_for(std::chrono::milliseconds(400));  // it grows no more
+  clock.run_for(std::chrono::milliseconds(400));  // the burst no longer grows
   std::vector<WorkerSlotPtr> batch;
   for (int count = 0; count < 8; ++count) {
     if (WorkerSlotPtr place = take(false, WorkClass::kBatch)) {
@@ -158,7 +158,7 @@
   EXPECT_NE(take(false, WorkClass::kBatch), nullptr);
 }
 
-TEST_F(WorkerSetTest, BatchAlwaysHasSomePlacesHoweverHighTheBurst) {
+TEST_F(WorkerSetTest, BatchAlwaysGetsSomeSlotsHoweverLargeTheBurst) {
   workers.update(record("i-1", 8));
   constexpr int kBurst = 40;
   std::vector<WorkerSlotPtr> burst;
@@ -170,7 +170,7 @@
   EXPECT_NE(take(false, WorkClass::kBatch), nullptr);
 }
 
-TEST_F(WorkerSetTest, AWorkerThatFailedIsAvoidedButNotLost) {
+TEST_F(WorkerSetTest, AFailedWorkerIsAvoidedButStillUsedAsALastResort) {
   workers.update(record("i-1", 8));
   workers.update(record("i-2", 8));
   workers.note_failure(*workers.find("i-1"), clock.monotonic_now());
@@ -182,20 +182,20 @@
   EXPECT_NE(take(), nullptr);
 }
 
-TEST_F(WorkerSetTest, WhatRunsOnceRatherWaitsThanGoesToASuspectWorker) {
+TEST_F(WorkerSetTest, ANonRepeatableRequestWaitsRatherThanGoToASuspectWorker) {
   workers.update(record("i-1", 1));
   workers.update(record("i-2", 8));
   workers.note_failure(*workers.find("i-2"), clock.monotonic_now());
   clock.run_for(std::chrono::seconds(1));  // its pause is over
   WorkerSlotPtr first = take();
   EXPECT_EQ(first->worker().record.incarnation, "i-1");
-  EXPECT_EQ(take(), nullptr) << "it waits for the sound worker";
+  EXPECT_EQ(take(), nullptr) << "it waits for the healthy worker";
   EXPECT_EQ(take(true)->worker().record.incarnation, "i-1");
   workers.note_success(*workers.find("i-2"));
   EXPECT_EQ(take()->worker().record.incarnation, "i-2");
 }
 
-TEST_F(WorkerSetTest, WhatMayRunAgainTriesASuspectWorkerAfterItsPause) {
+TEST_F(WorkerSetTest, ARepeatableRequestMayGoToASuspectWorkerAfterItsPause) {
   workers.update(record("i-1", 8));
   workers.note_failure(*workers.find("i-1"), clock.monotonic_now());
   clock.run_for(std::chrono::seconds(1));
@@ -207,7 +207,7 @@
   EXPECT_NE(workers.acquire_slot(request), nullptr);
 }
 
-TEST_F(WorkerSetTest, SuspectWorkersServeOnWhenNoneIsSound) {
+TEST_F(WorkerSetTest, SuspectWorkersAreUsedWhenNoneIsHealthy) {
   workers.update(record("i-1", 8));
   workers.note_failure(*workers.find("i-1"), clock.monotonic_now());
   clock.run_for(std::chrono::seconds(1));
@@ -235,7 +235,7 @@
   std::vector<WorkerSlotPtr> places;
 };
 
-TEST_F(SharedPromptTest, ReturnsToTheWorkerThatKeepsIt) {
+TEST_F(SharedPromptTest, ReturnsToTheWorkerThatHasItCached) {
   const std::string first = next();
   for (int count = 0; count < 5; ++count) {
     clock.run_for(std::chrono::milliseconds(500));
@@ -244,7 +244,8 @@
   }
 }
 
-// What doesn't fit there goes to one other worker, which keeps the prompt too from then on.
+// Requests for which the first worker has no room go to one other worker, which then caches the
+// prompt too.
 TEST_F(SharedPromptTest, OverflowsToTheSameSecondWorkerEachTime) {
   const std::string first = next();
   std::set<std::string> second;
@@ -258,15 +259,15 @@
   EXPECT_FALSE(second.contains(first));
 }
 
-TEST_F(SharedPromptTest, GoesElsewhereWhenReadingItAgainIsSooner) {
+TEST_F(SharedPromptTest, GoesElsewhereWhenPrefillThereIsSooner) {
   const std::string first = next();
-  request.prompt[0].id = "another that the worker must read";
+  request.prompt[0].id = "another prompt that the worker must prefill";
   workers.add_prompt_tokens(workers.find(first)->hash, 60000);
   request.prompt[0].id = "shared";
   EXPECT_NE(next(), first);
 }
 
-TEST_F(SharedPromptTest, ShortPromptsAvoidAWorkerThatReadsALongOne) {
+TEST_F(SharedPromptTest, ShortPromptsAvoidAWorkerThatPrefillsALongOne) {
   const std::string busy = next();
   ServingRequest question;
   question.prompt_tokens = 500;
@@ -276,8 +277,8 @@
   }
 }
 
-// The counts of a service are kept with each change; they are what a sum over its workers gives.
-TEST_F(WorkerSetTest, CountsOfAServiceStayWhatTheirSumIs) {
+// The incrementally maintained counts of a service equal the sums over its workers.
+TEST_F(WorkerSetTest, CountsOfAServiceEqualTheSumsOverItsWorkers) {
   constexpr int kWorkers = 6;
   constexpr int kSteps = 3000;
   std::vector<WorkerSlotPtr> places;
@@ -322,7 +323,7 @@
       sums[known->record.service].own_batch += known->batch_in_flight;
       seen.insert(known.get());
     }
-    for (const WorkerSlotPtr& place : places) {  // at workers that are forgotten
+    for (const WorkerSlotPtr& place : places) {  // at workers that were dropped
       const ServingWorker& forgotten = place->worker();
       if (seen.insert(&forgotten).second) {
         sums[forgotten.record.service].online += forgotten.online_in_flight;
@@ -336,7 +337,7 @@
   }
 }
 
-TEST_F(WorkerSetTest, PlacesOfAWorkerThatFailsAreNotFree) {
+TEST_F(WorkerSetTest, SlotsOfAFailingWorkerAreNotFree) {
   workers.update(record("i-1", 4));
   workers.update(record("i-2", 4));
   EXPECT_EQ(workers.free_slots("engines"), 8U);
@@ -347,27 +348,27 @@
   EXPECT_EQ(workers.free_slots("engines"), 8U);
 }
 
-TEST_F(WorkerSetTest, WhereAllWorkersAreSuspectTheirPlacesCount) {
+TEST_F(WorkerSetTest, IfAllWorkersAreSuspectTheirSlotsCount) {
   workers.update(record("i-1", 4));
   workers.note_failure(*workers.find("i-1"), clock.monotonic_now());
   EXPECT_EQ(workers.free_slots("engines"), 4U);
 }
 
-TEST_F(WorkerSetTest, ARepeatableRequestTooWaitsForASoundWorkerRatherThanGoToOneThatFails) {
-  workers.update(record("i-sound", 1));
+TEST_F(WorkerSetTest, ARepeatableRequestWaitsForAHealthyWorkerRatherThanGoToAFailingOne) {
+  workers.update(record("i-healthy", 1));
   workers.update(record("i-failing", 4));
   workers.note_failure(*workers.find("i-failing"), clock.monotonic_now());
   const WorkerSlotPtr taken = take();
-  ASSERT_EQ(taken->worker().record.incarnation, "i-sound");
+  ASSERT_EQ(taken->worker().record.incarnation, "i-healthy");
   SlotRequest repeatable;
   repeatable.service = "engines";
   repeatable.repeatable = true;
   EXPECT_EQ(workers.acquire_slot(repeatable), nullptr);
   repeatable.even_if_full = true;
-  EXPECT_EQ(workers.acquire_slot(repeatable)->worker().record.incarnation, "i-sound");
+  EXPECT_EQ(workers.acquire_slot(repeatable)->worker().record.incarnation, "i-healthy");
 }
 
-TEST_F(WorkerSetTest, OnlyWorkersInUseOrWithNewsAreActive) {
+TEST_F(WorkerSetTest, OnlyWorkersInUseOrWithUnreportedOutcomesAreActive) {
   constexpr int kWorkers = 1000;
   for (int number = 0; number < kWorkers; ++number) {
     workers.update(record("i-" + std::to_string(number)));
@@ -379,13 +380,13 @@
   EXPECT_EQ(workers.active_workers().begin()->second.get(), &used);
   workers.note_failure(used, clock.monotonic_now());
   place.reset();
-  EXPECT_EQ(workers.active_workers().size(), 1U) << "peers should hear of the failure";
+  EXPECT_EQ(workers.active_workers().size(), 1U) << "peers must be told of the failure";
   clock.run_for(std::chrono::minutes(1));
   EXPECT_TRUE(workers.active_workers().empty());
 }
 
-// Another node hears of the failure only now that this one has had a success there since.
-TEST_F(WorkerSetTest, ASuccessThatClearsAFailureOfAPeerIsNews) {
+// A peer reports a failure that is older than a success of this node, which must be told to peers.
+TEST_F(WorkerSetTest, ASuccessThatClearsAFailureReportedByAPeerIsTold) {
   workers.update(record("i-1"));
   const MonotonicTime failed = clock.monotonic_now();
   clock.run_for(std::chrono::milliseconds(10));
@@ -401,7 +402,7 @@
   EXPECT_EQ(workers.active_workers().size(), 1U);
 }
 
-TEST_F(WorkerSetTest, AWorkerThatIsListedAgainIsNotForgottenByItsFirstRemoval) {
+TEST_F(WorkerSetTest, AWorkerThatIsListedAgainIsNotDroppedForItsEarlierRemoval) {
   workers.update(record("i-1"));
   workers.remove("i-1");
   clock.run_for(std::chrono::seconds(6));
--- a/tests/serving/worker_watch_test.cc
+++ b/tests/serving/worker_watch_test.cc
@@ -1,4 +1,4 @@
-// What entries of workers do to the workers that a node uses, over starts and foreign entries.
+// The effect of worker records on the worker set of a node: restarts and invalid records.
 #include "src/serving/worker_watch.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace chalkshed {
 namespace {
 
-nlohmann::json entry_of(size_t number, int64_t born) {
+nlohmann::json record_of(size_t number, int64_t born) {
   return {{"service", "engines"}, {"address", "10.1.0." + std::to_string(number) + ":80"},
           {"zone", "zone-a"},     {"slots", 4},
           {"state", "ready"},     {"born", born}};
@@ -25,8 +25,8 @@
   ServingCluster cluster{1, 0};
 };
 
-TEST_F(WorkerWatchTest, AWorkerThatStartsAgainUnderItsIdIsKnownByNothingOfBefore) {
-  put("i-0", entry_of(0, 1000).dump());
+TEST_F(WorkerWatchTest, ARestartedWorkerWithTheSameIdHasNoStateOfItsOldIncarnation) {
+  put("i-0", record_of(0, 1000).dump());
   const WorkerPtr before = worker("i-0");
   ASSERT_TRUE(before);
   WorkerSet& workers = cluster.node().workers();
@@ -36,7 +36,7 @@
   workers.add_prompt_tokens(before->hash, 100000);
   workers.note_replaced(*before);
   ASSERT_TRUE(before->outcomes.suspect(cluster.clock.monotonic_now()));
-  put("i-0", entry_of(0, 5000).dump());
+  put("i-0", record_of(0, 5000).dump());
   const WorkerPtr after = worker("i-0");
   ASSERT_TRUE(after);
   EXPECT_NE(after->hash, before->hash);
@@ -46,15 +46,15 @@
   EXPECT_EQ(workers.load_of(*after), 0U);
   EXPECT_EQ(workers.prefill_backlog(*after), Duration(0));
   EXPECT_EQ(workers.free_slots("engines"), 4U);
-  // What peers tell of the start before is not counted for this one.
+  // Loads that peers report for the old incarnation are not counted for the new one.
   EXPECT_FALSE(workers.add_peer_load(before->hash, 1, 0));
 }
 
-TEST_F(WorkerWatchTest, RunsThatTheOldStartHadFreeNoPlacesOfTheNewOne) {
-  put("i-0", entry_of(0, 1000).dump());
+TEST_F(WorkerWatchTest, RunsOfTheOldIncarnationFreeNoSlotsOfTheNewOne) {
+  put("i-0", record_of(0, 1000).dump());
   const SeenAnswerPtr answer = cluster.request("/fixed/1");
   ASSERT_EQ(worker("i-0")->online_in_flight, 1U);
-  put("i-0", entry_of(0, 5000).dump());
+  put("i-0", record_of(0, 5000).dump());
   EXPECT_EQ(worker("i-0")->online_in_flight, 0U);
   cluster.workers.calls.back().fail(Ran::kUnknown);
   cluster.clock.run_for(milliseconds(100));
@@ -63,16 +63,16 @@
   EXPECT_EQ(cluster.node().workers().free_slots("engines"), 4U);
 }
 
-TEST_F(WorkerWatchTest, AnUnreadableEntryNamesNoWorkerToUseAndTheOthersHold) {
+TEST_F(WorkerWatchTest, AWorkerWithAnInvalidRecordIsNotUsedAndOthersStayInUse) {
   const std::vector<std::string> unreadable = {"",
                                                "{}",
                                                "null",
                                                std::string("\xff\x00{", 3),
                                                R"({"service": "engines"})",
-                                               entry_of(0, 1000).dump().substr(0, 40)};
+                                               record_of(0, 1000).dump().substr(0, 40)};
   for (const std::string& entry : unreadable) {
-    put("i-0", entry_of(0, 1000).dump());
-    put("i-1", entry_of(1, 1000).dump());
+    put("i-0", record_of(0, 1000).dump());
+    put("i-1", record_of(1, 1000).dump());
     put("i-0", entry);
     for (int request = 0; request < 4; ++request) {
       cluster.request("/plain/1", "r" + std::to_string(request));
@@ -80,7 +80,7 @@
       EXPECT_EQ(cluster.workers.calls.back().worker.ip, "10.1.0.1") << entry;
     }
     put("i-1", std::nullopt);
-    // Not even when no other is left.
+    // Not even as a last resort.
     const size_t calls = cluster.workers.calls.size();
     cluster.request("/plain/1", "last");
     cluster.clock.run_for(seconds(1));
@@ -91,10 +91,10 @@
   }
 }
 
-TEST_F(WorkerWatchTest, AWorkerWhoseEntryCanBeReadAgainIsUsedAgain) {
-  put("i-0", entry_of(0, 1000).dump());
+TEST_F(WorkerWatchTest, AWorkerWhoseRecordIsValidAgainIsUsedAgain) {
+  put("i-0", record_of(0, 1000).dump());
   put("i-0", "{}");
-  put("i-0", entry_of(0, 1000).dump());
+  put("i-0", record_of(0, 1000).dump());
   cluster.request("/plain/1");
   ASSERT_FALSE(cluster.workers.calls.empty());
   EXPECT_EQ(cluster.workers.calls.back().worker.ip, "10.1.0.0");
