--- a/include/chalkshed/job_forwarder.h
+++ b/include/chalkshed/job_forwarder.h
@@ -2,12 +2,12 @@
 #define CHALKSHED_JOB_FORWARDER_H
 
 /** \file
- * Hands a job that this node cannot store to a peer that reaches the store.
+ * Forwards a job that this node cannot store to a peer that can reach the store.
  *
- * The store may turn away some nodes while it serves the others. A caller whose job reaches such a
- * node would hear a refusal, or nothing, and come back too late. One hop between nodes costs
- * milliseconds. Jobs are taken once under their id, so that handing one on is safe even if the
- * node's own attempt has been applied without its knowing.
+ * The store may reject some nodes while it serves others. A caller whose job reaches a rejected
+ * node would get an error or no answer, and retry too late. A hop between nodes costs only
+ * milliseconds. Submission is idempotent by job id, so that forwarding is safe even if this node's
+ * own write was applied but not acknowledged.
  */
 
 #include <functional>
@@ -22,10 +22,10 @@
 
 enum class forward_outcome {
     kAccepted,
-    /** Certainly not taken by this hop. */
+    /** Certainly not accepted through this hop. */
     kNotAccepted,
     kUnknown,
-    /** No peer is known to reach the store. */
+    /** No peer is known that can reach the store. */
     kNoPeer,
 };
 
@@ -43,8 +43,8 @@
     job_forwarder(HttpClient &client, const JobCodec &codec, const SessionView &peers,
                   Logger &logger, const forward_knobs &knobs = {});
 
-    /** \param attempt Counts the hops tried for this job; each draws another peer.
-     * \param done Called once; at once when there is no peer. */
+    /** \param attempt The number of earlier hops of this job, which selects another peer each time.
+     * \param done Called once, and before the return if there is no peer. */
     void forward(const RequestJob &job, uint64_t attempt,
                  std::function<void(forward_outcome)> done);
 
--- a/src/forwarding/job_forwarder.cc
+++ b/src/forwarding/job_forwarder.cc
@@ -11,8 +11,8 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 
-/** A peer promises only by these that it took nothing. It may know another configuration than this
- * node, so that it may not know the key. */
+/** Only the listed statuses guarantee that the peer did not accept the job. 401 is one of them,
+ * because the peer may have another configuration, without the caller's key. */
 forward_outcome judge(const Expected<HttpResponse> &answer) {
     if (!answer) {
         return answer.error().ran == Ran::kNo ? forward_outcome::kNotAccepted
