--- a/src/routing/admission.cc
+++ b/src/routing/admission.cc
@@ -26,9 +26,9 @@
 
 Duration predicted_finish(const RouteRequest& request, Duration first_token,
                           const ServiceProfile& profile) {
-  const std::chrono::duration<double> behind_first(profile.seconds_per_max_token *
-                                                   request.max_tokens);
-  return first_token + std::chrono::duration_cast<Duration>(behind_first);
+  const std::chrono::duration<double> after_first_token(profile.seconds_per_max_token *
+                                                        request.max_tokens);
+  return first_token + std::chrono::duration_cast<Duration>(after_first_token);
 }
 
 std::optional<Error> refuse_if_late(const RouteRequest& request, Duration first_token,
@@ -43,9 +43,10 @@
   Error error =
       not_run(ErrorKind::kOverloaded,
               "service " + request.service + " would take about " + milliseconds(finish) +
-                  ", only " + milliseconds(request.time_left) + " are left until the deadline",
-              "send again after retry_after, or allow a longer deadline");
-  // The backlog must shrink by what is missing; callers return spread over half as long again.
+                  ", but only " + milliseconds(request.time_left) + " are left until the deadline",
+              "retry after the delay in retry_after, or allow a longer deadline");
+  // Enough time for the backlog to shrink as needed; the jitter adds up to half of it to spread the
+  // retries of the callers.
   const Duration missing =
       std::clamp<Duration>(finish - allowed, knobs.shortest_retry_after, knobs.longest_retry_after);
   error.retry_after = std::chrono::duration_cast<Duration>(missing * (1.0 + 0.5 * jitter));
--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -1,4 +1,4 @@
-// Refusal of online requests that cannot finish in time, and when to come back.
+// Admission control: rejects online requests that cannot meet their deadline.
 #pragma once
 
 #include <optional>
@@ -15,8 +15,8 @@
                           const ServiceProfile& profile);
 
 // @param first_token predicted for the best worker.
-// @param jitter in [0, 1); spreads the return of many refused callers.
-// @return the refusal (kOverloaded, not run, with retry_after), or nothing when admitted.
+// @param jitter in [0, 1); spreads the retries of many rejected callers.
+// @return the rejection (kOverloaded, not run, with retry_after), or nothing if admitted.
 std::optional<Error> refuse_if_late(const RouteRequest& request, Duration first_token,
                                     const ServiceProfile& profile, double jitter,
                                     const AdmissionKnobs& knobs);
--- a/src/routing/batch_window.h
+++ b/src/routing/batch_window.h
@@ -1,4 +1,4 @@
-// How much batch work a worker may take at a moment. Pure functions of what is known of it.
+// The amount of batch work that a worker may run, as pure functions of its known load.
 #pragma once
 
 #include <cstdint>
@@ -7,12 +7,12 @@
 
 namespace chalkshed {
 
-// What the holder of a worker knows of it.
+// The known load of a worker, at the node that holds it.
 struct WindowConditions {
   double online_sequences = 0;
   uint32_t max_sequences = 0;
-  double batch_fill = 0.5;  // the policy's; 0 yields the most, 1 fills the most
-  bool light = false;       // kept light for online work
+  double batch_fill = 0.5;  // set by the policy; 0 favours online work, 1 favours batch throughput
+  bool light = false;       // kept lightly loaded for online work
   bool burst = false;       // online requests arrive in a burst
   bool load_known = false;  // a load report is recent enough to open the window fully
 };
@@ -26,10 +26,10 @@
 WindowLimits window_limits(const WindowConditions& conditions, const WindowKnobs& knobs,
                            const RoutingSafeguards& safeguards);
 
-// The holder's state of one worker's window.
+// The state of one worker's window at the node that holds it.
 struct BatchWindow {
   bool held = false;   // this node holds the worker
-  bool light = false;  // kept light for online work
+  bool light = false;  // kept lightly loaded for online work
   WindowLimits limits;
 };
 
--- a/src/routing/batch_windows.cc
+++ b/src/routing/batch_windows.cc
@@ -47,23 +47,23 @@
       return;
     }
     if (error.kind == ErrorKind::kDraining) {
-      windows_.poll(handle_);  // learns at once whether the worker is leaving
+      windows_.poll(handle_);  // the load report shows whether the worker is leaving
     }
     handle_->health.failure();
     const auto& workers = windows_.directory_.workers(handle_->service);
-    eject_if_sick(*handle_, workers, windows_.dependencies_.time_source.monotonic_now(),
-                  windows_.knobs_.health);
+    eject_if_unhealthy(*handle_, workers, windows_.dependencies_.time_source.monotonic_now(),
+                       windows_.knobs_.health);
   }
   void set_on_revoked(std::function<void()> callback) override {
     on_revoked_ = std::move(callback);
   }
 
-  // @return whether it was not marked before and its owner wants to know.
+  // @return whether it was not marked before and has a callback.
   bool mark_revoked() { return !std::exchange(revoked_, true) && on_revoked_ != nullptr; }
   bool revocation_due() const { return revoked_ && on_revoked_ != nullptr; }
   std::function<void()> take_on_revoked() { return std::exchange(on_revoked_, nullptr); }
   const WorkerHandle& handle() const { return handle_; }
-  // Whether the worker was heard of through the slot, or it was revoked.
+  // Whether the worker reported load or a failure through this slot, or the slot was revoked.
   bool used() const { return used_ || revoked_; }
 
  private:
@@ -128,7 +128,7 @@
 }
 
 void BatchWindows::recompute_holders() {
-  // A node that knows only itself would hold every worker there is.
+  // A node that does not know the other members yet would hold all workers.
   const RendezvousIndex owners(membership_.caught_up() ? membership_.members()
                                                        : std::vector<Member>());
   for (auto& [name, service] : held_) {
@@ -229,7 +229,7 @@
 
 void BatchWindows::poll_idle_workers() {
   const MonotonicTime now = dependencies_.time_source.monotonic_now();
-  const bool wanted = now - last_wanted_ <= knobs_.window.idle_after;
+  const bool wanted = now - last_demand_at_ <= knobs_.window.idle_after;
   const Duration interval = wanted ? knobs_.window.load_poll : knobs_.window.idle_load_poll;
   uint32_t polls = 0;
   for (const auto& [name, service] : held_) {
@@ -260,7 +260,7 @@
 
 void BatchWindows::apply(Worker& worker) {
   refresh_limits(worker);
-  if (room(worker) > 0) {
+  if (free_sequences(worker) > 0) {
     schedule_notification();
   }
   revoke_excess(worker);
@@ -292,42 +292,42 @@
   return worker.window.held && worker.usable() && !worker.health.ejected(now);
 }
 
-uint32_t BatchWindows::room(const Worker& worker) const {
+uint32_t BatchWindows::free_sequences(const Worker& worker) const {
   const uint32_t taken = worker.load.own_batch();
   const uint32_t limit = worker.window.limits.sequences;
   return may_start(worker) && limit > taken ? limit - taken : 0;
 }
 
 BatchSlotPtr BatchWindows::try_acquire(const std::string& service, uint32_t prompt_tokens) {
-  last_wanted_ = dependencies_.time_source.monotonic_now();
+  last_demand_at_ = dependencies_.time_source.monotonic_now();
   const auto held = held_.find(service);
   if (held == held_.end()) {
     return nullptr;
   }
   WorkerHandle best;
-  uint32_t best_room = 0;
+  uint32_t best_free = 0;
   for (const WorkerHandle& worker : held->second.workers) {
     refresh_limits(*worker);
     const double share = worker->load.prefill_share();
     const double pending = share * worker->load.own_pending_batch_prompt_tokens();
     const bool prompt_fits =
         pending == 0 || pending + share * prompt_tokens <= worker->window.limits.prompt_tokens;
-    const uint32_t worker_room = room(*worker);
-    if (prompt_fits && worker_room > best_room) {
+    const uint32_t worker_free = free_sequences(*worker);
+    if (prompt_fits && worker_free > best_free) {
       best = worker;
-      best_room = worker_room;
+      best_free = worker_free;
     }
   }
   return best == nullptr ? nullptr : std::make_unique<Slot>(*this, best, prompt_tokens);
 }
 
 uint32_t BatchWindows::available(const std::string& service) const {
-  last_wanted_ = dependencies_.time_source.monotonic_now();
+  last_demand_at_ = dependencies_.time_source.monotonic_now();
   const auto held = held_.find(service);
   uint32_t total = 0;
   if (held != held_.end()) {
     for (const WorkerHandle& worker : held->second.workers) {
-      total += room(*worker);
+      total += free_sequences(*worker);
     }
   }
   return total;
@@ -343,7 +343,7 @@
   if (found == slots_.end()) {
     return;
   }
-  // The latest have made the least progress, so their loss is the smallest.
+  // The most recent sequences have made the least progress and cost the least to cancel.
   const size_t slack = in_burst(worker.service) ? 0 : knobs_.window.revoke_slack;
   const size_t allowed = worker.window.limits.sequences + slack;
   const size_t kept = std::max<size_t>(allowed, knobs_.window.never_revoked);
@@ -352,14 +352,14 @@
     any = found->second[index - 1]->mark_revoked() || any;
   }
   if (any) {
-    // Posted, because the caller may be a slot that its owner destroys on being revoked.
+    // Posted, because the caller may be a slot that its owner destroys in the callback.
     dependencies_.dispatcher.post(lifetime_.guard([this, id = worker.id] { call_revoked(id); }));
   }
 }
 
 void BatchWindows::call_revoked(const WorkerId& id) {
   while (true) {
-    // Looked up anew each time: a callback may destroy any slot.
+    // Searched again in each iteration, because a callback may destroy any slot.
     const std::vector<Slot*>& slots = slots_[id];
     const auto next = std::find_if(slots.begin(), slots.end(),
                                    [](const Slot* slot) { return slot->revocation_due(); });
@@ -373,7 +373,7 @@
 void BatchWindows::released(Slot& slot) {
   std::vector<Slot*>& slots = slots_[slot.handle()->id];
   slots.erase(std::remove(slots.begin(), slots.end(), &slot), slots.end());
-  // A slot given back unused opens nothing new; telling of it would make its owner ask again.
+  // Releasing an unused slot adds no capacity; a notification would make its owner acquire again.
   if (slot.used()) {
     update(*slot.handle());
   }
--- a/src/routing/batch_windows.h
+++ b/src/routing/batch_windows.h
@@ -1,6 +1,7 @@
-// Batch windows of the workers that this node holds. A worker's holder is a rendezvous choice over
-// the live members; two holders during a change cost efficiency, never safety, since the engine
-// itself prefers online work and each holder sees the other's load.
+// Batch windows of the workers that this node holds. The holder of a worker is selected among the
+// live members by rendezvous hashing. Two holders during a membership change cost efficiency but
+// not safety, since the engine itself prioritizes online work and each holder sees the other's
+// load.
 #pragma once
 
 #include <map>
@@ -32,24 +33,24 @@
   uint32_t available(const std::string& service) const override;
   void subscribe(std::function<void()> callback) override;
 
-  // What is known of a worker's online work has changed: shuts or opens its window.
+  // Adjusts a worker's window after its known online load has changed.
   void update(Worker& worker);
   // An online request was routed by this node.
   void online_arrived(Worker& worker);
-  // Asks a worker for its load.
+  // Requests a load report from a worker.
   void poll(const WorkerHandle& worker);
 
  private:
   class Slot;
   friend class Slot;
 
-  // Held workers of one service and what is known of its online work.
+  // The held workers of one service and its online load.
   struct HeldService {
     std::vector<WorkerHandle> workers;
     double online_sequences = 0;  // when last planned
     ArrivalRate arrivals;
     std::optional<MonotonicTime> online_seen_at;
-    MonotonicTime busy_until{};  // no light worker is filled before
+    MonotonicTime busy_until{};  // no light worker is filled before this time
   };
 
   void tick();
@@ -64,7 +65,7 @@
   void poll_idle_workers();
   bool holds(const Worker& worker, const RendezvousIndex& owners) const;
   bool may_start(const Worker& worker) const;
-  uint32_t room(const Worker& worker) const;
+  uint32_t free_sequences(const Worker& worker) const;
   void revoke_excess(const Worker& worker);
   void call_revoked(const WorkerId& id);
   void released(Slot& slot);
@@ -82,7 +83,7 @@
   std::map<WorkerId, std::vector<Slot*>> slots_;  // in the order of acquisition
   std::vector<std::function<void()>> subscribers_;
   bool notification_posted_ = false;
-  mutable MonotonicTime last_wanted_;  // when batch work last asked for capacity
+  mutable MonotonicTime last_demand_at_;  // when batch work last requested capacity
   TimerPtr timer_;
   Lifetime lifetime_;
 };
--- a/src/routing/outlier_detector.cc
+++ b/src/routing/outlier_detector.cc
@@ -6,8 +6,8 @@
 namespace chalkshed {
 namespace {
 
-// Peers with enough samples for a median to mean something.
-constexpr size_t kFewestPeers = 2;
+// Minimum number of peers with enough samples for a meaningful median.
+constexpr size_t kMinPeers = 2;
 
 bool is_slow(const Worker& suspect, const std::vector<WorkerHandle>& workers,
              const HealthKnobs& knobs) {
@@ -20,7 +20,7 @@
       peers.push_back(worker->health.slowness());
     }
   }
-  if (peers.size() < kFewestPeers) {
+  if (peers.size() < kMinPeers) {
     return false;
   }
   const auto middle = peers.begin() + static_cast<std::ptrdiff_t>(peers.size() / 2);
@@ -40,14 +40,14 @@
   }
   const auto share =
       static_cast<size_t>(std::floor(static_cast<double>(usable) * knobs.maximum_ejected_fraction));
-  const size_t most = usable >= 2 ? std::max<size_t>(1, share) : 0;
-  return ejected < most;
+  const size_t limit = usable >= 2 ? std::max<size_t>(1, share) : 0;
+  return ejected < limit;
 }
 
 }  // namespace
 
-bool eject_if_sick(Worker& suspect, const std::vector<WorkerHandle>& workers, MonotonicTime now,
-                   const HealthKnobs& knobs) {
+bool eject_if_unhealthy(Worker& suspect, const std::vector<WorkerHandle>& workers,
+                        MonotonicTime now, const HealthKnobs& knobs) {
   if (suspect.health.ejected(now)) {
     return false;
   }
--- a/src/routing/outlier_detector.h
+++ b/src/routing/outlier_detector.h
@@ -1,5 +1,5 @@
-// Decides which workers of a service are sick: failing in a row, or slow relative to the service's
-// median. Ejects them within a bound on the ejected fraction.
+// Outlier detection: ejects workers with consecutive failures, or that are slow relative to the
+// median of their service, up to a maximum fraction of the service's workers.
 #pragma once
 
 #include <vector>
@@ -9,10 +9,10 @@
 
 namespace chalkshed {
 
-// Ejects `suspect` if its record calls for it and the bound allows it.
+// Ejects `suspect` if it is unhealthy and the maximum fraction allows it.
 // @param workers all workers of its service, the suspect included.
 // @return whether it was ejected now.
-bool eject_if_sick(Worker& suspect, const std::vector<WorkerHandle>& workers, MonotonicTime now,
-                   const HealthKnobs& knobs);
+bool eject_if_unhealthy(Worker& suspect, const std::vector<WorkerHandle>& workers,
+                        MonotonicTime now, const HealthKnobs& knobs);
 
 }  // namespace chalkshed
--- a/src/routing/prefix_affinity.cc
+++ b/src/routing/prefix_affinity.cc
@@ -8,7 +8,7 @@
 
 PrefixDigests PrefixAffinity::digests(std::string_view prompt) {
   PrefixDigests digests;
-  const size_t blocks = std::min(prompt.size() / kBlockBytes, kMostBlocks);
+  const size_t blocks = std::min(prompt.size() / kBlockBytes, kMaxBlocks);
   uint64_t digest = 0;
   for (size_t block = 0; block < blocks; ++block) {
     digest = content_hash(prompt.substr(block * kBlockBytes, kBlockBytes), digest);
@@ -19,7 +19,7 @@
 
 size_t PrefixAffinity::shared_blocks(const PrefixDigests& digests, MonotonicTime now) const {
   size_t blocks = 0;
-  while (blocks < digests.size() && knows(digests[blocks], now)) {
+  while (blocks < digests.size() && contains_recent(digests[blocks], now)) {
     ++blocks;
   }
   return blocks;
@@ -28,7 +28,7 @@
 size_t PrefixAffinity::blocks_at(const PrefixDigests& digests, const WorkerId& worker,
                                  MonotonicTime now) const {
   size_t blocks = 0;
-  while (blocks < digests.size() && knows(rank(digests[blocks], worker), now)) {
+  while (blocks < digests.size() && contains_recent(rank(digests[blocks], worker), now)) {
     ++blocks;
   }
   return blocks;
@@ -37,8 +37,8 @@
 void PrefixAffinity::remember(const PrefixDigests& digests, const WorkerId& worker,
                               MonotonicTime now) {
   for (const uint64_t digest : digests) {
-    remember_fact(digest, now);
-    remember_fact(rank(digest, worker), now);
+    touch(digest, now);
+    touch(rank(digest, worker), now);
   }
 }
 
@@ -46,12 +46,12 @@
   return content_hash(worker, prefix);
 }
 
-bool PrefixAffinity::knows(uint64_t digest, MonotonicTime now) const {
+bool PrefixAffinity::contains_recent(uint64_t digest, MonotonicTime now) const {
   const auto found = positions_.find(digest);
-  return found != positions_.end() && now - found->second->seen_at <= memory_;
+  return found != positions_.end() && now - found->second->seen_at <= lifetime_;
 }
 
-void PrefixAffinity::remember_fact(uint64_t digest, MonotonicTime now) {
+void PrefixAffinity::touch(uint64_t digest, MonotonicTime now) {
   const auto found = positions_.find(digest);
   if (found != positions_.end()) {
     recent_.splice(recent_.begin(), recent_, found->second);
@@ -60,7 +60,7 @@
   }
   recent_.push_front({digest, now});
   positions_.emplace(digest, recent_.begin());
-  if (recent_.size() > remembered_) {
+  if (recent_.size() > capacity_) {
     positions_.erase(recent_.back().digest);
     recent_.pop_back();
   }
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -1,5 +1,5 @@
-// Token bucket that grants retries as a fraction of recent successes, with a small steady minimum,
-// so that retries never amplify an outage.
+// Token bucket that allows retries as a fraction of recent successes plus a small constant rate, so
+// that retries do not amplify an outage.
 #pragma once
 
 #include "src/core/time.h"
@@ -11,9 +11,9 @@
  public:
   RetryBudget(const AdmissionKnobs& knobs, MonotonicTime now)
       : knobs_(knobs), tokens_(knobs.retry_burst), refilled_at_(now) {}
-  // @param fraction retries granted for each success.
+  // @param fraction retries allowed per success.
   void success(double fraction);
-  // @return whether a retry may be made now; takes it from the budget.
+  // Takes one retry from the budget. @return whether one was available.
   bool take(MonotonicTime now);
 
  private:
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,4 +1,4 @@
-// Choice of a worker for online requests, and the slots that batch work may take.
+// Selection of workers for online requests, and slots for batch work.
 #pragma once
 
 #include <cstdint>
@@ -28,8 +28,8 @@
   std::vector<WorkerId> excluded;  // workers that already failed this request
 };
 
-// An online request on its worker. The router counts it in flight until the object is destroyed.
-// The holder reports what it sees, so that the router learns load, latency and failures.
+// An online request assigned to a worker. It counts as in flight until the object is destroyed. The
+// owner reports load, latency and failures to the router through it.
 class RoutedRequest {
  public:
   virtual ~RoutedRequest() = default;
@@ -45,14 +45,14 @@
 class Router {
  public:
   virtual ~Router() = default;
-  // Errors, all Ran::kNo: kUnknownService, kUnavailable (no worker), kOverloaded (cannot finish in
-  // time; retry_after is set).
+  // Errors, all Ran::kNo: kUnknownService, kUnavailable (no worker), kOverloaded (cannot meet the
+  // deadline; retry_after is set).
   virtual Expected<RoutedRequestPtr> route(const RouteRequest& request) = 0;
-  // Takes one retry from the service's budget. @return false when it is used up.
+  // Takes one retry from the service's budget. @return false if it is exhausted.
   virtual bool take_retry(const std::string& service) = 0;
 };
 
-// Capacity for one batch sequence on a worker. Destroying it gives the slot back.
+// Capacity for one batch sequence on a worker. The destructor releases the slot.
 class BatchSlot {
  public:
   virtual ~BatchSlot() = default;
@@ -62,7 +62,7 @@
   virtual void report_first_token() = 0;
   virtual void report_success() = 0;
   virtual void report_failure(const Error& error) = 0;
-  // Called at most once when the window shuts and the sequence must stop at once.
+  // Called at most once, when the window shrinks and the sequence must stop at once.
   virtual void set_on_revoked(std::function<void()> callback) = 0;
 };
 using BatchSlotPtr = std::unique_ptr<BatchSlot>;
@@ -71,11 +71,12 @@
 class BatchSlots {
  public:
   virtual ~BatchSlots() = default;
-  // @return a slot for a prompt of that size, or null when no window is open.
+  // @return a slot for a prompt of that size, or null if no window has room for it.
   virtual BatchSlotPtr try_acquire(const std::string& service, uint32_t prompt_tokens) = 0;
-  // @return sequences that could be started on the service now, to size how much work to claim.
+  // @return the number of sequences that could start on the service now, which bounds how much work
+  // to claim.
   virtual uint32_t available(const std::string& service) const = 0;
-  // Called whenever capacity may have opened.
+  // Called whenever capacity may have become available.
   virtual void subscribe(std::function<void()> callback) = 0;
 };
 
--- a/src/routing/router_impl.cc
+++ b/src/routing/router_impl.cc
@@ -11,13 +11,13 @@
 constexpr double kProfileSmoothing = 0.05;
 constexpr Duration kNoWorkerRetryAfter = std::chrono::seconds(1);
 
-void smooth(double& mean, double sample) {
+void update_mean(double& mean, double sample) {
   mean = mean == 0 ? sample : mean + kProfileSmoothing * (sample - mean);
 }
 
 }  // namespace
 
-// An online request on its worker.
+// An online request assigned to a worker.
 class RouterImpl::Routed : public RoutedRequest {
  public:
   Routed(RouterImpl& router, WorkerHandle worker, const RouteRequest& request, Duration expected)
@@ -54,22 +54,22 @@
     first_token_at_ = router_.now();
     handle_->load.first_token_seen(EnginePriority::kOnline, prompt_tokens_);
     handle_->health.first_token_seen(ticket_, *first_token_at_ - started_at_, expected_);
-    router_.eject_if_sick_now(*handle_);
+    router_.eject_if_unhealthy_now(*handle_);
   }
   void report_success() override {
     handle_->health.success(router_.now(), router_.knobs_.health);
-    router_.succeeded(handle_->service, router_.now() - started_at_,
-                      router_.now() - first_token_at_.value_or(started_at_), max_tokens_);
+    router_.record_success(handle_->service, router_.now() - started_at_,
+                           router_.now() - first_token_at_.value_or(started_at_), max_tokens_);
   }
   void report_failure(const Error& error) override {
     if (error.kind == ErrorKind::kCancelled || error.kind == ErrorKind::kUnknownModel) {
-      return;  // says nothing about the worker
+      return;  // not a fault of the worker
     }
     if (error.kind == ErrorKind::kDraining) {
-      router_.windows_.poll(handle_);  // learns at once whether the worker is leaving
+      router_.windows_.poll(handle_);  // the load report shows whether the worker is leaving
     }
     handle_->health.failure();
-    router_.eject_if_sick_now(*handle_);
+    router_.eject_if_unhealthy_now(*handle_);
   }
 
  private:
@@ -110,12 +110,12 @@
   const ConfigurationPtr configuration = configuration_.current();
   if (configuration == nullptr) {
     return tl::unexpected(not_run(ErrorKind::kUnavailable, "the node has no configuration yet",
-                                  "send to another node or again in a moment"));
+                                  "use another node, or retry shortly"));
   }
   if (!gossip_.caught_up()) {
     Error error =
         not_run(ErrorKind::kUnavailable, "the node has not yet learned which workers are leaving",
-                "send to another node or again after retry_after");
+                "use another node, or retry after the delay in retry_after");
     error.retry_after = kNoWorkerRetryAfter;
     return tl::unexpected(std::move(error));
   }
@@ -123,7 +123,7 @@
   if (service == configuration->services.end()) {
     return tl::unexpected(not_run(ErrorKind::kUnknownService,
                                   "there is no service " + request.service,
-                                  "use a service of the configuration in force"));
+                                  "use a service of the current configuration"));
   }
   ServiceProfile& profile = state_of(request.service).profile;
   profile.max_sequences = service->second.max_sequences_per_worker;
@@ -173,29 +173,29 @@
 
 Error RouterImpl::no_worker(const std::string& service) const {
   Error error = not_run(ErrorKind::kUnavailable, "no worker of service " + service + " is usable",
-                        "send again after retry_after; operators: see /admin/workers");
+                        "retry after the delay in retry_after; operators: see /admin/workers");
   error.retry_after = kNoWorkerRetryAfter;
   return error;
 }
 
-void RouterImpl::succeeded(const std::string& service, Duration whole, Duration behind_first_token,
-                           uint32_t max_tokens) {
+void RouterImpl::record_success(const std::string& service, Duration whole,
+                                Duration after_first_token, uint32_t max_tokens) {
   ServiceState& state = state_of(service);
   const ConfigurationPtr configuration = configuration_.current();
   if (configuration != nullptr && configuration->services.contains(service)) {
     state.retries.success(configuration->services.at(service).retry_budget_fraction);
   }
   double mean = static_cast<double>(state.profile.mean_duration.count());
-  smooth(mean, static_cast<double>(whole.count()));
+  update_mean(mean, static_cast<double>(whole.count()));
   state.profile.mean_duration = Duration(static_cast<Duration::rep>(mean));
   if (max_tokens > 0) {
-    const double seconds = std::chrono::duration<double>(behind_first_token).count();
-    smooth(state.profile.seconds_per_max_token, seconds / max_tokens);
+    const double seconds = std::chrono::duration<double>(after_first_token).count();
+    update_mean(state.profile.seconds_per_max_token, seconds / max_tokens);
   }
 }
 
-void RouterImpl::eject_if_sick_now(Worker& worker) {
-  if (eject_if_sick(worker, directory_.workers(worker.service), now(), knobs_.health)) {
+void RouterImpl::eject_if_unhealthy_now(Worker& worker) {
+  if (eject_if_unhealthy(worker, directory_.workers(worker.service), now(), knobs_.health)) {
     ejected_.add(1);
     dependencies_.logger.write(LogLevel::kWarning, "worker_ejected",
                                {{"worker", worker.id}, {"service", worker.service}});
--- a/src/routing/router_impl.h
+++ b/src/routing/router_impl.h
@@ -1,5 +1,5 @@
-// The routing module of a node: online routing, retry budgets and batch windows over one worker
-// directory.
+// The routing module of a node: online routing, retry budgets and batch windows on top of one
+// worker directory.
 #pragma once
 
 #include <map>
@@ -36,7 +36,7 @@
   uint32_t available(const std::string& service) const override;
   void subscribe(std::function<void()> callback) override;
 
-  // Operators' orders, spread to all nodes at once. @return false when the worker is unknown.
+  // Operator commands, propagated to all nodes at once. @return false if the worker is unknown.
   bool drain(const WorkerId& id) { return directory_.drain(id); }
   bool restore(const WorkerId& id) { return directory_.restore(id); }
 
@@ -48,7 +48,7 @@
   class Routed;
   friend class Routed;
 
-  // What this node learned of one service.
+  // State that this node keeps per service.
   struct ServiceState {
     RetryBudget retries;
     ServiceProfile profile;
@@ -56,9 +56,9 @@
 
   ServiceState& state_of(const std::string& service);
   Error no_worker(const std::string& service) const;
-  void succeeded(const std::string& service, Duration whole, Duration behind_first_token,
-                 uint32_t max_tokens);
-  void eject_if_sick_now(Worker& worker);
+  void record_success(const std::string& service, Duration whole, Duration after_first_token,
+                      uint32_t max_tokens);
+  void eject_if_unhealthy_now(Worker& worker);
 
   NodeDependencies dependencies_;
   ConfigurationSource& configuration_;
--- a/src/routing/tenant_admission.h
+++ b/src/routing/tenant_admission.h
@@ -1,4 +1,4 @@
-// Admission of a tenant's next request against its share of the limits.
+// Admission of a tenant's requests under its rate limit.
 #pragma once
 
 #include <optional>
@@ -11,7 +11,7 @@
 class TenantAdmission {
  public:
   virtual ~TenantAdmission() = default;
-  // Counts one request of the tenant. @return nothing when it may go on, else kLimitExceeded with
+  // Counts one request of the tenant. @return nothing if it is admitted, else kLimitExceeded with
   // Ran::kNo and retry_after.
   virtual std::optional<Error> admit(const std::string& tenant) = 0;
 };
--- a/src/routing/tenant_limiter.cc
+++ b/src/routing/tenant_limiter.cc
@@ -10,7 +10,7 @@
 
 constexpr std::string_view kTenantUsageKind = "tenant_usage";
 constexpr double kDemandSmoothing = 0.5;
-// Demand below this many requests a second counts as none.
+// Demand below this many requests per second counts as zero.
 constexpr double kNoDemand = 0.05;
 
 uint32_t tenant_hash(const std::string& tenant) {
@@ -30,7 +30,8 @@
       knobs_(knobs),
       measured_at_(dependencies.time_source.monotonic_now()) {
   const std::string kind(kTenantUsageKind);
-  gossip_.subscribe(kind, lifetime_.guard([this](const GossipEntry& entry) { hear(entry); }));
+  gossip_.subscribe(kind,
+                    lifetime_.guard([this](const GossipEntry& entry) { handle_usage(entry); }));
   timer_ = dependencies_.dispatcher.create_timer([this] { tick(); });
   timer_->enable(knobs_.interval);
 }
@@ -46,7 +47,7 @@
   }
   const TenantConfiguration& limit = limits->second;
   TenantState& state = state_of(tenant, limit);
-  ++state.asked;
+  ++state.requests;
   const double per_second = limit.requests_per_second * state.share;
   const double burst = limit.request_burst > 0 ? limit.request_burst : limit.requests_per_second;
   state.bucket.refill(dependencies_.time_source.monotonic_now(), per_second,
@@ -54,10 +55,11 @@
   if (state.bucket.take()) {
     return std::nullopt;
   }
-  Error error = not_run(ErrorKind::kLimitExceeded,
-                        "tenant " + tenant + " is over its limit of " +
-                            std::to_string(limit.requests_per_second) + " requests a second",
-                        "send again after retry_after, or ask operators for a higher limit");
+  Error error =
+      not_run(ErrorKind::kLimitExceeded,
+              "tenant " + tenant + " is over its limit of " +
+                  std::to_string(limit.requests_per_second) + " requests per second",
+              "retry after the delay in retry_after, or ask the operators for a higher limit");
   error.retry_after =
       std::max<Duration>(std::chrono::seconds(1), state.bucket.until_next(per_second));
   return error;
@@ -97,8 +99,8 @@
 
 void TenantLimiter::measure(double seconds) {
   for (auto& [tenant, state] : tenants_) {
-    const double rate = state.asked / std::max(seconds, 1e-3);
-    state.asked = 0;
+    const double rate = state.requests / std::max(seconds, 1e-3);
+    state.requests = 0;
     state.demand += kDemandSmoothing * (rate - state.demand);
     if (state.demand < kNoDemand) {
       state.demand = 0;
@@ -135,7 +137,7 @@
   gossip_.publish(std::move(entry));
 }
 
-void TenantLimiter::hear(const GossipEntry& entry) {
+void TenantLimiter::handle_usage(const GossipEntry& entry) {
   const auto* bytes = reinterpret_cast<const uint8_t*>(entry.value.data());
   flatbuffers::Verifier verifier(bytes, entry.value.size());
   if (!verifier.VerifyBuffer<wire::TenantUsage>(nullptr)) {
@@ -150,7 +152,7 @@
     }
   }
   peers_[entry.key] = std::move(usage);
-  // Shares fall at once.
+  // Decreases take effect at once.
   for (auto& [tenant, state] : tenants_) {
     state.share = std::min(state.share, target_share(tenant, state));
   }
@@ -176,28 +178,28 @@
       continue;
     }
     if (now - peer->second.heard_at > knobs_.stale_after) {
-      return equal;  // a live member with demand is not heard: gossip is stale
+      return equal;  // no recent report from a live member with demand: gossip is stale
     }
     others += demand->second;
   }
   if (others <= 0) {
     return state.demand > 0 ? 1.0 : equal;
   }
-  // A small equal part lets a node's new demand be served while word of it spreads.
-  constexpr double kEqualPart = 0.1;
+  // A small equal fraction serves new demand of a node until the other nodes know about it.
+  constexpr double kEqualFraction = 0.1;
   const double proportional = state.demand / (state.demand + others);
-  return kEqualPart * equal + (1.0 - kEqualPart) * proportional;
+  return kEqualFraction * equal + (1.0 - kEqualFraction) * proportional;
 }
 
 void TenantLimiter::update_share(const std::string& tenant, TenantState& state) {
   state.targets.push_back(target_share(tenant, state));
-  const auto kept = static_cast<size_t>(knobs_.settle / knobs_.interval) + 1;
-  while (state.targets.size() > kept) {
+  const auto window_size = static_cast<size_t>(knobs_.settle / knobs_.interval) + 1;
+  while (state.targets.size() > window_size) {
     state.targets.pop_front();
   }
-  const bool settled = state.targets.size() == kept;
-  const double smallest = *std::min_element(state.targets.begin(), state.targets.end());
-  state.share = settled ? smallest : std::min(state.share, smallest);
+  const bool settled = state.targets.size() == window_size;
+  const double minimum = *std::min_element(state.targets.begin(), state.targets.end());
+  state.share = settled ? minimum : std::min(state.share, minimum);
 }
 
 }  // namespace chalkshed
--- a/src/routing/tenant_limiter.h
+++ b/src/routing/tenant_limiter.h
@@ -1,14 +1,15 @@
-// Request limits per tenant, shared over the nodes by demand.
+// Request rate limits per tenant, distributed over the nodes by demand.
 //
-// Each node admits its share of a tenant's limit. The share follows the node's part of the demand
-// as gossiped ("tenant_usage"), rises only after the others had time to hear of it (the smallest
-// target of the settle time counts) and falls at once. While gossip is stale it is an equal share
-// of the live members.
+// Each node admits its share of a tenant's limit. The share follows the node's fraction of the
+// total demand, which nodes exchange by gossip ("tenant_usage"). It increases only after the other
+// nodes had time to learn of the demand (the minimum target over the settle time applies) and
+// decreases at once. While gossip is stale, the live members have equal shares.
 //
-// Bound: with gossip delivered within the settle time the shares of a moment sum to at most twice
-// the limit, and that only for the settle time after demand moved between nodes (nodes without
-// known demand start at an equal share); otherwise to at most the limit. Bursts: one bucket over
-// all nodes plus one request a node. Each side of a partitioned cluster admits up to the limit.
+// Bound: if gossip is delivered within the settle time, the shares at any time sum to at most the
+// limit, except during the settle time after demand has moved between nodes, when they sum to at
+// most twice the limit (nodes without known demand start at an equal share). Bursts: one bucket
+// over all nodes plus one request per node. Each side of a partitioned cluster admits up to the
+// limit.
 #pragma once
 
 #include <deque>
@@ -26,14 +27,14 @@
 namespace chalkshed {
 
 struct TenantLimiterKnobs {
-  // Demand is measured and published this often, stretched by up to `jitter`.
+  // Interval at which demand is measured and published, extended by up to the fraction `jitter`.
   Duration interval = std::chrono::seconds(1);
   double jitter = 0.2;
-  // Others have heard of a change after this long.
+  // Time after which all nodes are assumed to know of a change.
   Duration settle = std::chrono::seconds(3);
-  // A node's published demand is believed for this long.
+  // A node's published demand is valid for this long.
   Duration stale_after = std::chrono::seconds(6);
-  // Tenants published by a node; those with the highest demand.
+  // Maximum number of tenants that a node publishes, those with the highest demand.
   uint32_t published_tenants = 24;
 };
 
@@ -43,18 +44,18 @@
                 ConfigurationSource& configuration, MembershipView& membership, Gossip& gossip,
                 TenantLimiterKnobs knobs = {});
 
-  // @return nothing when the request is admitted, else kLimitExceeded (not run, with retry_after).
+  // @return nothing if the request is admitted, else kLimitExceeded (not run, with retry_after).
   std::optional<Error> admit(const std::string& tenant) override;
-  // Share of the tenant's limit that this node admits now, in [0, 1].
+  // The current share of the tenant's limit at this node, in [0, 1].
   double share(const std::string& tenant) const;
 
  private:
   struct TenantState {
     explicit TenantState(const TokenBucket& tokens) : bucket(tokens) {}
     TokenBucket bucket;
-    uint32_t asked = 0;          // since the last measurement
-    double demand = 0;           // requests a second, smoothed
-    std::deque<double> targets;  // shares wanted within the settle time, oldest first
+    uint32_t requests = 0;       // since the last measurement
+    double demand = 0;           // requests per second, smoothed
+    std::deque<double> targets;  // target shares over the settle time, oldest first
     double share = 0;
   };
   struct PeerUsage {
@@ -66,7 +67,7 @@
   void tick();
   void measure(double seconds);
   void publish();
-  void hear(const GossipEntry& entry);
+  void handle_usage(const GossipEntry& entry);
   double equal_share() const;
   double target_share(const std::string& tenant, const TenantState& state) const;
   void update_share(const std::string& tenant, TenantState& state);
--- a/src/routing/token_bucket.h
+++ b/src/routing/token_bucket.h
@@ -1,4 +1,4 @@
-// Token bucket whose rate and size may change while it runs.
+// Token bucket whose rate and size may change over time.
 #pragma once
 
 #include <algorithm>
@@ -11,13 +11,13 @@
  public:
   TokenBucket(double tokens, MonotonicTime now) : tokens_(tokens), refilled_at_(now) {}
 
-  // Refills at `per_second` up to `size` since the last call.
+  // Adds the tokens for the time since the last call at `per_second`, up to `size`.
   void refill(MonotonicTime now, double per_second, double size) {
     const double seconds = std::chrono::duration<double>(now - refilled_at_).count();
     refilled_at_ = now;
     tokens_ = std::min(size, tokens_ + seconds * per_second);
   }
-  // @return whether a token was there; takes it.
+  // Takes a token. @return whether one was available.
   bool take() {
     if (tokens_ < 1.0) {
       return false;
--- a/src/routing/window_plan.cc
+++ b/src/routing/window_plan.cc
@@ -12,8 +12,8 @@
                     [](const PlannedWorker& worker) { return worker.light && worker.usable; }));
 }
 
-// Workers are made light in their order and filled in the reverse order, so that the first ones
-// stay light and keep the prefixes of online prompts cached.
+// Workers are made light in order and filled in reverse order, so that the first ones stay light
+// and keep the prefixes of online prompts in their cache.
 bool lighten_one(std::vector<PlannedWorker>& workers) {
   const auto next = std::find_if(workers.begin(), workers.end(), [](const PlannedWorker& worker) {
     return !worker.light && worker.usable;
@@ -82,7 +82,7 @@
   while (light < needed && lighten_one(workers)) {
     ++light;
   }
-  // One at a time, so that a pause within a burst costs little.
+  // Fill one worker at a time, so that a short pause within a burst costs little.
   if (light > needed && conditions.may_shrink) {
     fill_one(workers);
   }
--- a/src/routing/worker.h
+++ b/src/routing/worker.h
@@ -1,4 +1,4 @@
-// One model worker or plain back end as this node knows it.
+// This node's view of one model worker or plain back end.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
 
 namespace chalkshed {
 
-// Who said that a worker is leaving.
+// The source of the information that a worker is leaving.
 enum class LeavingSource : uint8_t { kNobody, kMachineList, kOwnReport, kOperator };
 
 // @return "machine_list", "own_report", "operator" or "".
@@ -30,7 +30,7 @@
   uint64_t incarnation = 0;
 
   LeavingSource leaving_source = LeavingSource::kNobody;
-  bool dropped = false;  // no longer listed; requests in flight may still hold it
+  bool dropped = false;  // no longer listed; requests in flight may still refer to it
 
   WorkerLoad load;
   WorkerHealth health;
--- a/src/routing/worker_api.cc
+++ b/src/routing/worker_api.cc
@@ -60,8 +60,8 @@
   return response;
 }
 
-// @return the worker id of "/admin/workers/{id}<suffix>", or empty.
-std::string worker_of(std::string_view path, std::string_view suffix) {
+// @return the worker id in "/admin/workers/{id}<suffix>", or an empty string.
+std::string parse_worker_id(std::string_view path, std::string_view suffix) {
   if (!path.starts_with(kWorkersPath) || !path.ends_with(suffix)) {
     return "";
   }
@@ -82,11 +82,11 @@
     return;
   }
   if (request.method == "POST") {
-    if (const std::string id = worker_of(request.path, kDrainSuffix); !id.empty()) {
+    if (const std::string id = parse_worker_id(request.path, kDrainSuffix); !id.empty()) {
       writer->respond(order(id, true));
       return;
     }
-    if (const std::string id = worker_of(request.path, kRestoreSuffix); !id.empty()) {
+    if (const std::string id = parse_worker_id(request.path, kRestoreSuffix); !id.empty()) {
       writer->respond(order(id, false));
       return;
     }
@@ -107,8 +107,8 @@
 HttpResponse WorkerApi::order(const std::string& worker, bool drain) {
   const bool known = drain ? router_.drain(worker) : router_.restore(worker);
   if (!known) {
-    return error_response(not_run(ErrorKind::kNotFound, "no worker " + worker + " is known",
-                                  "take an id from GET /admin/workers"));
+    return error_response(not_run(ErrorKind::kNotFound, "worker " + worker + " is unknown",
+                                  "use an id from GET /admin/workers"));
   }
   return json_response(describe(*router_.directory().find(worker), router_.now()));
 }
--- a/src/routing/worker_api.h
+++ b/src/routing/worker_api.h
@@ -1,4 +1,4 @@
-// Operators' HTTP view of the workers: GET /admin/workers, POST /admin/workers/{id}/drain and
+// Operators' HTTP API for workers: GET /admin/workers, POST /admin/workers/{id}/drain and
 // POST /admin/workers/{id}/restore.
 #pragma once
 
--- a/src/routing/worker_chooser.cc
+++ b/src/routing/worker_chooser.cc
@@ -25,7 +25,7 @@
     case ChoicePolicy::kRoundRobin:
       return candidates[round_robin_[request.service]++ % candidates.size()];
     case ChoicePolicy::kTwoChoices:
-      return fewest_of_two(candidates);
+      return less_loaded_of_two(candidates);
     case ChoicePolicy::kLeastCost:
       break;
   }
@@ -41,20 +41,20 @@
       continue;
     }
     fallback.push_back(worker);
-    if (takes_share(*worker, now) && !worker->health.stalled(now, knobs_.health)) {
+    if (draws_traffic_share(*worker, now) && !worker->health.stalled(now, knobs_.health)) {
       healthy.push_back(worker);
     }
   }
-  // With every worker ejected the record says more about the network than about the workers.
+  // If every worker is ejected, the cause is more likely the network than the workers.
   return healthy.empty() ? fallback : healthy;
 }
 
-bool WorkerChooser::takes_share(const Worker& worker, MonotonicTime now) {
+bool WorkerChooser::draws_traffic_share(const Worker& worker, MonotonicTime now) {
   const double share = worker.health.traffic_share(now, knobs_.health);
   return share >= 1.0 || (share > 0.0 && random_.unit() < share);
 }
 
-WorkerHandle WorkerChooser::fewest_of_two(const std::vector<WorkerHandle>& candidates) {
+WorkerHandle WorkerChooser::less_loaded_of_two(const std::vector<WorkerHandle>& candidates) {
   const WorkerHandle& first = candidates[random_.below(candidates.size())];
   const WorkerHandle& second = candidates[random_.below(candidates.size())];
   return second->load.own_online() < first->load.own_online() ? second : first;
@@ -67,11 +67,11 @@
     (candidate->zone == locality_.zone ? near : elsewhere).push_back(candidate);
   }
   const auto shorten = [this](std::vector<WorkerHandle>& pool, size_t count) {
-    const size_t kept = std::min(count, pool.size());
-    for (size_t index = 0; index < kept; ++index) {
+    const size_t sample_size = std::min(count, pool.size());
+    for (size_t index = 0; index < sample_size; ++index) {
       std::swap(pool[index], pool[index + random_.below(pool.size() - index)]);
     }
-    pool.resize(kept);
+    pool.resize(sample_size);
   };
   shorten(near, knobs_.choice.candidates);
   shorten(elsewhere, near.empty() ? knobs_.choice.candidates : knobs_.choice.candidates_elsewhere);
--- a/src/routing/worker_chooser.h
+++ b/src/routing/worker_chooser.h
@@ -1,4 +1,4 @@
-// Choice of one worker for an online request among the usable workers of its service.
+// Selects the worker for an online request among the usable workers of its service.
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
 
 namespace chalkshed {
 
-// Where the choosing node stands.
+// Location of the node that selects the worker.
 struct Locality {
   std::string zone;
   std::string region;
@@ -27,22 +27,22 @@
         random_(random),
         affinity_(knobs.choice.remembered_prefixes, knobs.choice.prefix_memory) {}
 
-  // @param workers candidates; leaving and excluded workers are skipped here, ejected ones unless
-  // nothing else is left.
-  // @return null when no worker may be used.
+  // @param workers candidates; leaving and excluded workers are skipped, ejected ones unless there
+  // are no others.
+  // @return null if no worker may be used.
   WorkerHandle choose(const std::vector<WorkerHandle>& workers, const RouteRequest& request,
                       const ServiceProfile& profile, MonotonicTime now);
 
  private:
   std::vector<WorkerHandle> eligible(const std::vector<WorkerHandle>& workers,
                                      const RouteRequest& request, MonotonicTime now);
-  bool takes_share(const Worker& worker, MonotonicTime now);
+  bool draws_traffic_share(const Worker& worker, MonotonicTime now);
   WorkerHandle least_cost(const std::vector<WorkerHandle>& candidates, const RouteRequest& request,
                           const ServiceProfile& profile, MonotonicTime now);
-  WorkerHandle fewest_of_two(const std::vector<WorkerHandle>& candidates);
-  // Random candidates, those near preferred.
+  WorkerHandle less_loaded_of_two(const std::vector<WorkerHandle>& candidates);
+  // Random candidates, mostly from the node's own zone.
   std::vector<WorkerHandle> sample(const std::vector<WorkerHandle>& candidates);
-  // The worker that all nodes prefer for a prefix, within the bound on load.
+  // The worker that all nodes prefer for a prefix, among those within the load bound.
   WorkerHandle preferred_for(uint64_t prefix, const std::vector<WorkerHandle>& candidates,
                              MonotonicTime now) const;
   Duration round_trip(const Worker& worker) const;
--- a/src/routing/worker_directory.cc
+++ b/src/routing/worker_directory.cc
@@ -9,8 +9,8 @@
 
 constexpr std::string_view kDrainMarkKind = "drain_mark";
 
-// Operators' orders carry wall-clock versions, far above the counted ones of other sources, with
-// a few bits of the sender so that two orders in the same microsecond differ.
+// Operator commands have wall-clock versions, which are far above the counters of other sources.
+// The low bits identify the sender, so that two commands in the same microsecond differ.
 constexpr unsigned kSenderBits = 8;
 
 uint64_t order_version(const TimeSource& time_source, const std::string& key, uint64_t known) {
@@ -79,7 +79,8 @@
 }
 
 void WorkerDirectory::fetched(uint64_t number, const Expected<MachineListSnapshot>& snapshot) {
-  // A failed fetch keeps the last list; an answer overtaken by a later one says nothing new.
+  // A failed fetch keeps the last list; an answer that arrives after that of a later fetch is
+  // stale.
   if (!snapshot || number < newest_fetch_applied_) {
     return;
   }
@@ -117,10 +118,10 @@
     worker = add(machine);
   }
   if (machine.incarnation < worker->incarnation) {
-    return;  // the list has not caught up with the worker's restart
+    return;  // the list does not show the worker's restart yet
   }
   if (machine.incarnation > worker->incarnation) {
-    renew(*worker, machine.incarnation);
+    start_incarnation(*worker, machine.incarnation);
   }
   if (worker->address != machine.address) {
     worker->address = machine.address;
@@ -136,7 +137,8 @@
     return;
   }
   if (!listing.state) {
-    // First sight: if nodes still hold a restore, nothing has marked the worker since.
+    // First listing: if the latest mark is a restore, no node has marked the worker as leaving
+    // since.
     listing.overruled = leaving && restored(worker);
   }
   listing.state = state;
@@ -188,7 +190,7 @@
   return worker;
 }
 
-void WorkerDirectory::renew(Worker& worker, uint64_t incarnation) {
+void WorkerDirectory::start_incarnation(Worker& worker, uint64_t incarnation) {
   worker.incarnation = incarnation;
   worker.load.reset_reports();
   worker.health.reset();
@@ -214,7 +216,7 @@
     return;
   }
   if (load.incarnation > worker.incarnation) {
-    renew(worker, load.incarnation);
+    start_incarnation(worker, load.incarnation);
   }
   worker.load.report(load, dependencies_.time_source.monotonic_now() - lag, estimate_);
   TypicalLoad& typical = typical_loads_[worker.service];
@@ -233,11 +235,11 @@
   return found == typical_loads_.end() ? TypicalLoad{} : found->second;
 }
 
-bool WorkerDirectory::drain(const WorkerId& id) { return order(id, true); }
+bool WorkerDirectory::drain(const WorkerId& id) { return apply_order(id, true); }
 
-bool WorkerDirectory::restore(const WorkerId& id) { return order(id, false); }
+bool WorkerDirectory::restore(const WorkerId& id) { return apply_order(id, false); }
 
-bool WorkerDirectory::order(const WorkerId& id, bool leaving) {
+bool WorkerDirectory::apply_order(const WorkerId& id, bool leaving) {
   const WorkerHandle worker = find(id);
   if (worker == nullptr) {
     return false;
@@ -253,7 +255,7 @@
   return true;
 }
 
-// All nodes that see the same source build the same mark, so concurrent publications agree.
+// All nodes build the same mark from the same source, so concurrent publications agree.
 void WorkerDirectory::mark_leaving(Worker& worker, LeavingSource source) {
   Mark mark = marks_[worker.id];
   if (mark.leaving && mark.incarnation >= worker.incarnation) {
@@ -333,8 +335,8 @@
   mark.leaving = message->leaving();
   mark.source = static_cast<LeavingSource>(message->source());
   if (mark.incarnation < known.incarnation) {
-    // Says nothing about the incarnation marked here, unless it is an order given meanwhile: put
-    // the newer incarnation's mark on top again.
+    // The mark does not apply to the newer incarnation known here, unless it is a recent operator
+    // command. Publish the mark of the newer incarnation with a higher version.
     if (!recent_order(mark)) {
       mark = known;
     }
--- a/src/routing/worker_directory.h
+++ b/src/routing/worker_directory.h
@@ -1,11 +1,11 @@
-// The workers and back ends of every service, and which of them are leaving. Fed by the machine
-// list (which lags), by operators' marks that nodes gossip, and by the workers' own reports.
+// The workers and back ends of every service, and which of them are leaving. The sources are the
+// machine list (which lags), operators' marks exchanged by gossip, and the workers' own reports.
 //
-// A worker is leaving when any of the three says so for its current incarnation. That yields only
-// to a new incarnation or to an operator's restore; a restore does not hold against what the
-// worker says of itself afterwards. An operator means the worker as it is, though the node that
-// took the order may not have heard of its restart yet: the order also holds for an incarnation
-// that is learned within `list_lag` of it.
+// A worker is leaving if any of the three sources says so for its current incarnation. Only a new
+// incarnation or an operator's restore clears that state; a later report of the worker itself
+// overrides a restore. An operator's command is meant for the running worker, although the node
+// that received it may not know of a restart yet. The command therefore also applies to an
+// incarnation that is discovered within `list_lag` after it.
 #pragma once
 
 #include <functional>
@@ -27,39 +27,39 @@
   WorkerDirectory(const NodeIdentity& identity, NodeDependencies& dependencies, Gossip& gossip,
                   const RoutingKnobs& knobs);
 
-  // Begins to fetch the machine list and to listen to gossip.
+  // Starts fetching the machine list and subscribes to gossip.
   void start();
-  // Workers of a service that are not dropped, ordered by id; leaving ones included.
+  // Workers of a service that are not dropped, ordered by id, including leaving ones.
   const std::vector<WorkerHandle>& workers(const std::string& service) const;
   const std::map<WorkerId, WorkerHandle>& all() const { return workers_; }
   WorkerHandle find(const WorkerId& id) const;
 
-  // Takes in a worker's own load report: its incarnation and whether it is leaving.
-  // @param lag age of the report when it arrived.
+  // Applies a worker's own load report, including its incarnation and whether it is leaving.
+  // @param lag age of the report on arrival.
   void observe_report(Worker& worker, const EngineLoad& load, Duration lag = Duration(0));
   TypicalLoad typical_load(const std::string& service) const;
-  // Operators' orders. @return false when the worker is unknown.
+  // Operator commands. @return false if the worker is unknown.
   bool drain(const WorkerId& id);
   bool restore(const WorkerId& id);
-  // Calls `callback` after workers came, went or changed their leaving state.
+  // Calls `callback` after workers were added, removed or changed their leaving state.
   void subscribe(std::function<void()> callback) { subscribers_.push_back(std::move(callback)); }
 
  private:
-  // The latest mark known of a worker id, whether the worker is listed or not.
+  // The latest known mark of a worker id, whether the worker is listed or not.
   struct Mark {
     uint64_t version = 0;
     uint64_t incarnation = 0;
     bool leaving = false;
     LeavingSource source = LeavingSource::kNobody;
   };
-  // What was last seen of a worker id in the machine list.
+  // State of a worker id with respect to the machine list.
   struct Listing {
     uint32_t missing_fetches = 0;
     uint32_t listed_fetches = 0;
     uint64_t dropped_incarnation = 0;  // 0: not dropped
     std::optional<MachineState> state;
-    // An operator restored the worker while the list called it leaving: the list does not count
-    // until it has called the worker live again.
+    // An operator restored the worker while the list showed it as leaving: the list is ignored
+    // until it has shown the worker as live again.
     bool overruled = false;
   };
 
@@ -71,12 +71,12 @@
   void apply_missing(const std::set<WorkerId>& listed);
   void apply_gossip(const GossipEntry& entry);
   WorkerHandle add(const Machine& machine);
-  void renew(Worker& worker, uint64_t incarnation);
+  void start_incarnation(Worker& worker, uint64_t incarnation);
   void drop(const WorkerHandle& worker);
   bool restored(const Worker& worker) const;
-  bool order(const WorkerId& id, bool leaving);
+  bool apply_order(const WorkerId& id, bool leaving);
   void mark_leaving(Worker& worker, LeavingSource source);
-  // Whether an operator's order was given so recently that it may mean a newer incarnation.
+  // Whether an operator's command is so recent that it may be meant for a newer incarnation.
   bool recent_order(const Mark& mark) const;
   void extend_recent_order(Worker& worker);
   void set_mark(const WorkerId& id, const Mark& mark);
--- a/src/routing/worker_health.cc
+++ b/src/routing/worker_health.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kSlownessSmoothing = 0.2;
-constexpr uint32_t kLargestDoubling = 10;
+constexpr uint32_t kMaxDoublings = 10;
 
 }  // namespace
 
@@ -24,8 +24,8 @@
 
 void WorkerHealth::success(MonotonicTime now, const HealthKnobs& knobs) {
   consecutive_failures_ = 0;
-  if (returning_ && now >= ejected_until_ + knobs.slow_start) {
-    returning_ = false;
+  if (recovering_ && now >= ejected_until_ + knobs.slow_start) {
+    recovering_ = false;
     ejections_ = 0;
   }
 }
@@ -33,11 +33,11 @@
 void WorkerHealth::failure() { ++consecutive_failures_; }
 
 void WorkerHealth::eject(MonotonicTime now, const HealthKnobs& knobs) {
-  const uint32_t doublings = std::min(ejections_, kLargestDoubling);
+  const uint32_t doublings = std::min(ejections_, kMaxDoublings);
   const Duration length =
       std::min<Duration>(knobs.longest_ejection, knobs.first_ejection * (1U << doublings));
   ejected_until_ = now + length;
-  returning_ = true;
+  recovering_ = true;
   ++ejections_;
   consecutive_failures_ = 0;
   samples_ = 0;
@@ -48,7 +48,7 @@
   if (ejected(now)) {
     return 0.0;
   }
-  if (!returning_) {
+  if (!recovering_) {
     return 1.0;
   }
   const double progress = std::chrono::duration<double>(now - ejected_until_) /
@@ -62,8 +62,8 @@
 }
 
 bool WorkerHealth::failing(const HealthKnobs& knobs) const {
-  // While it returns, one failure is enough.
-  const uint32_t bound = returning_ ? 1 : knobs.consecutive_failures;
+  // During the recovery, one failure is enough.
+  const uint32_t bound = recovering_ ? 1 : knobs.consecutive_failures;
   return consecutive_failures_ >= bound;
 }
 
--- a/src/routing/worker_load.cc
+++ b/src/routing/worker_load.cc
@@ -35,13 +35,13 @@
 }
 
 void WorkerLoad::learn_prefill_share(const EngineLoad& load, const EstimateKnobs& knobs) {
-  // Below this many announced tokens the step's length says little.
-  constexpr uint32_t kFewestTokens = 64;
+  // With fewer announced tokens, the step time says little about the prefill.
+  constexpr uint32_t kMinTokens = 64;
   constexpr double kSmoothing = 0.1;
   constexpr double kSmallestShare = 0.05;
   const bool next_step = latest_ && load.incarnation == latest_->incarnation &&
                          load.step_number == latest_->step_number + 1;
-  if (!next_step || latest_->pending_prompt_tokens < kFewestTokens) {
+  if (!next_step || latest_->pending_prompt_tokens < kMinTokens) {
     return;
   }
   const double announced = std::min(latest_->pending_prompt_tokens, knobs.prompt_tokens_per_step);
@@ -102,13 +102,13 @@
   return own + foreign_prompt_tokens_ * discount(now, knobs);
 }
 
-WorkerLoad::StepOutlook WorkerLoad::outlook(MonotonicTime now, Duration round_trip,
-                                            double sequences, double step,
-                                            const EstimateKnobs& knobs) const {
-  StepOutlook outlook;
+WorkerLoad::StepForecast WorkerLoad::forecast(MonotonicTime now, Duration round_trip,
+                                              double sequences, double step,
+                                              const EstimateKnobs& knobs) const {
+  StepForecast forecast;
   const double per_prompt_token = static_cast<double>(knobs.step_per_prompt_token.count());
   if (latest_) {
-    // Reports leave at the end of a step; the next one holds what was running or waiting then.
+    // Reports are sent at the end of a step; the next step runs what was running or waiting then.
     const double running = latest_->running_online + latest_->running_batch +
                            latest_->waiting_online + latest_->waiting_batch;
     const double pending = prefill_share_ * latest_->pending_prompt_tokens;
@@ -117,37 +117,37 @@
                           per_prompt_token * prefilled;
     const double left = length - static_cast<double>((now - reported_at_ + round_trip).count());
     if (running > 0 && left > 0) {
-      outlook.until_step_end = left;
-      outlook.prompt_tokens =
+      forecast.until_step_end = left;
+      forecast.prompt_tokens =
           pending - prefilled + prefill_share_ * own_prompt_tokens_since_report_;
-      return outlook;
+      return forecast;
     }
   }
   const bool idle = sequences < 0.5;
-  outlook.until_step_end = idle ? 0 : step / 2;
-  outlook.prompt_tokens = prefill_share_ * pending_prompt_tokens(now, knobs);
-  return outlook;
+  forecast.until_step_end = idle ? 0 : step / 2;
+  forecast.prompt_tokens = prefill_share_ * pending_prompt_tokens(now, knobs);
+  return forecast;
 }
 
 Duration WorkerLoad::predicted_first_token(MonotonicTime now, uint32_t prompt_tokens,
                                            Duration round_trip, const ServiceProfile& profile,
                                            const EstimateKnobs& knobs) const {
   const double online = expected_online(now, profile, knobs);
-  const double most = std::max(1U, profile.max_sequences);
+  const double max_sequences = std::max(1U, profile.max_sequences);
   const double sequences = expected_sequences(now, profile, knobs);
   const double step = static_cast<double>(predicted_step(now, profile, knobs).count());
-  const StepOutlook next = outlook(now, round_trip, sequences, step, knobs);
+  const StepForecast next = forecast(now, round_trip, sequences, step, knobs);
   double total = static_cast<double>(round_trip.count()) + next.until_step_end + step +
                  knobs.step_per_prompt_token.count() * (next.prompt_tokens + prompt_tokens);
-  // Batch gives way to online work in the engine, so only online sequences queue.
-  const double queued = online + 1 - most;
+  // The engine prioritizes online work over batch work, so only online sequences queue.
+  const double queued = online + 1 - max_sequences;
   if (profile.max_sequences > 0 && queued > 0) {
-    total += queued * static_cast<double>(profile.mean_duration.count()) / most;
+    total += queued * static_cast<double>(profile.mean_duration.count()) / max_sequences;
   }
   return Duration(static_cast<Duration::rep>(total));
 }
 
-// What is left of old reports fades towards the typical load.
+// As the latest report ages, its weight shifts to the typical load.
 double WorkerLoad::expected_online(MonotonicTime now, const ServiceProfile& profile,
                                    const EstimateKnobs& knobs) const {
   const double unknown = latest_ ? 1.0 - discount(now, knobs) : 1.0;
@@ -165,10 +165,10 @@
 
 Duration WorkerLoad::predicted_step(MonotonicTime now, const ServiceProfile& profile,
                                     const EstimateKnobs& knobs) const {
-  const double most = std::max(1U, profile.max_sequences);
+  const double max_sequences = std::max(1U, profile.max_sequences);
   const double sequences = expected_sequences(now, profile, knobs) + 1;
-  const double step =
-      knobs.step_base.count() + knobs.step_per_sequence.count() * std::min(sequences, most);
+  const double step = knobs.step_base.count() +
+                      knobs.step_per_sequence.count() * std::min(sequences, max_sequences);
   return Duration(static_cast<Duration::rep>(step));
 }
 
--- a/tests/routing/batch_windows_test.cc
+++ b/tests/routing/batch_windows_test.cc
@@ -1,4 +1,4 @@
-// Batch windows: who holds them, how they open, and that they give way to online work.
+// Batch windows: their holders, when they open, and that they shrink for online work.
 #include "tests/routing/routing_fixture.h"
 
 namespace chalkshed {
@@ -29,7 +29,7 @@
     result.step_number = ++step_;
     return result;
   }
-  // Takes slots, each seen through its first token, until none is given.
+  // Acquires slots, each up to its first token, until none is left.
   std::vector<BatchSlotPtr> fill(size_t node = 0) {
     std::vector<BatchSlotPtr> slots;
     while (BatchSlotPtr slot = acquire(node)) {
@@ -69,7 +69,7 @@
   }
 }
 
-TEST_F(BatchWindowsTest, AnUnknownLoadIsProbedByOneSequenceThenOpensFully) {
+TEST_F(BatchWindowsTest, AWorkerWithUnknownLoadIsProbedByOneSequenceThenOpensFully) {
   start(1, 1);
   BatchSlotPtr probe = acquire();
   ASSERT_NE(probe, nullptr);
@@ -120,7 +120,7 @@
   for (size_t index = 0; index < slots.size(); ++index) {
     slots[index]->set_on_revoked([&slots, &revoked, index] {
       ++revoked;
-      slots[index].reset();  // destroyed inside its own callback
+      slots[index].reset();  // destroyed in its own callback
     });
   }
   const size_t held = slots.size();
@@ -163,9 +163,10 @@
   }
 }
 
-// A subscriber that asks again on every notification must not keep the loop busy, neither while
-// only the bound on prompt tokens holds it back nor when it gives slots back unused.
-TEST_F(BatchWindowsTest, NotificationsDoNotFeedThemselves) {
+// A subscriber that tries to acquire slots on every notification must not cause an endless loop of
+// notifications, neither while only the limit on prompt tokens stops it nor when it releases slots
+// unused.
+TEST_F(BatchWindowsTest, NotificationsDoNotTriggerThemselves) {
   start(2, 1);
   std::vector<BatchSlotPtr> slots;
   int notifications = 0;
--- a/tests/routing/online_routing_test.cc
+++ b/tests/routing/online_routing_test.cc
@@ -1,4 +1,5 @@
-// Choice of workers, ejection of sick ones, refusal of what would be late, and retries.
+// Worker selection, ejection of unhealthy workers, rejection of requests that would miss their
+// deadline, and retries.
 #include "src/routing/admission.h"
 #include "tests/routing/routing_fixture.h"
 
@@ -13,7 +14,7 @@
     node_->router->start();
     world_.clock.run_for(seconds(2));
   }
-  // Sends one request and lets it end after `latency`, or fail.
+  // Sends one request that ends after `latency`, or fails.
   void serve(const std::function<Duration(const WorkerId&)>& latency,
              const std::function<bool(const WorkerId&)>& fails) {
     auto routed = node_->route();
@@ -80,7 +81,7 @@
   EXPECT_LE(served_["w103"], 400 / 6 / 2);
 }
 
-TEST_F(OnlineRoutingTest, UniformSlownessEjectsNobody) {
+TEST_F(OnlineRoutingTest, UniformSlownessEjectsNoWorker) {
   start(6);
   for (int count = 0; count < 200; ++count) {
     serve([](const WorkerId&) { return Duration(milliseconds(200)); }, never);
@@ -96,7 +97,7 @@
   }
 }
 
-TEST_F(OnlineRoutingTest, AStalledWorkerGetsNoMore) {
+TEST_F(OnlineRoutingTest, AStalledWorkerGetsNoMoreRequests) {
   start(2);
   auto hung = node_->route();
   ASSERT_TRUE(hung);
@@ -104,7 +105,7 @@
   EXPECT_EQ(node_->count_routed_to((*hung)->worker(), 20), 0);
 }
 
-// A worker of which nothing is known is not taken for idle while the others are known to be busy.
+// A worker without a load report is not assumed to be idle while the others are known to be busy.
 TEST_F(OnlineRoutingTest, AnUnknownWorkerCountsAsTypicallyLoaded) {
   WorkerLoad unknown;
   ServiceProfile profile;
@@ -119,7 +120,7 @@
             known.predicted_step(now, profile, EstimateKnobs{}));
 }
 
-TEST_F(OnlineRoutingTest, PredictsTheEndOfTheStepUnderWay) {
+TEST_F(OnlineRoutingTest, PredictsTheEndOfTheCurrentStep) {
   const EstimateKnobs knobs;
   const MonotonicTime now = world_.clock.monotonic_now();
   ServiceProfile profile;
@@ -134,7 +135,7 @@
   EXPECT_NEAR((early - late).count(), 9000, 200);
 }
 
-TEST_F(OnlineRoutingTest, WhatCannotFinishInTimeIsRefusedAtOnceDeferrableFirst) {
+TEST_F(OnlineRoutingTest, RequestsThatCannotMeetTheirDeadlineAreRejectedDeferrableFirst) {
   RouteRequest request;
   request.service = "lm";
   request.max_tokens = 100;
--- a/tests/routing/routing_fixture.h
+++ b/tests/routing/routing_fixture.h
@@ -1,4 +1,4 @@
-// Fakes for routing tests: a virtual clock, gossip between nodes with a delay, a scripted machine
+// Fakes for routing tests: a virtual clock, gossip with a delay between nodes, a scripted machine
 // list, and dependencies that must not be used.
 #pragma once
 
@@ -148,7 +148,7 @@
   VirtualClock& clock_;
 };
 
-// Answers load polls from a table; generates nothing.
+// Answers load polls from a table; does not generate.
 class FakeEngineClient : public EngineClient {
  public:
   explicit FakeEngineClient(VirtualClock& clock) : clock_(clock) {}
@@ -197,7 +197,7 @@
   void register_method(std::string, Handler) override {}
 };
 
-// What all nodes of a test share.
+// State shared by all nodes of a test.
 struct World {
   World() : hub(clock), machines(clock), engines(clock) {
     auto built = std::make_shared<Configuration>();
@@ -243,7 +243,7 @@
   NullMetricsRegistry metrics;
 };
 
-// One node's routing.
+// The routing module of one node.
 struct RoutingNode {
   RoutingNode(World& shared, const std::string& id, RoutingKnobs knobs = {}, uint64_t seed = 1,
               EngineClient* engines = nullptr, const std::string& zone = "a")
@@ -283,7 +283,7 @@
     request.time_left = time_left;
     return router->route(request);
   }
-  // Routes `count` requests at once. @return how many went to `worker`.
+  // Routes `count` concurrent requests. @return the number routed to `worker`.
   int count_routed_to(const WorkerId& worker, int count = 100) {
     std::vector<RoutedRequestPtr> open;
     int hits = 0;
--- a/tests/routing/tenant_limiter_test.cc
+++ b/tests/routing/tenant_limiter_test.cc
@@ -16,7 +16,7 @@
                                                           node->gossip));
     }
   }
-  // Asks at `per_second[i]` on each node. @return requests admitted in all.
+  // Sends requests at the rate `per_second[i]` to each node. @return the total number admitted.
   int run(std::vector<int> per_second, Duration length) {
     int admitted = 0;
     constexpr Duration kStep = milliseconds(10);
@@ -60,8 +60,8 @@
 
 TEST_F(TenantLimiterTest, MovingDemandStaysWithinTheDocumentedBound) {
   run({200, 0, 0}, seconds(10));
-  // For the settle time at most twice the limit, then the limit; plus one bucket and a request a
-  // node.
+  // At most twice the limit during the settle time, then the limit; plus one bucket and one request
+  // per node.
   const int admitted = run({200, 200, 200}, seconds(10));
   EXPECT_LE(admitted, 60 * 10 + 60 * 3 + 60 + 3);
 }
@@ -75,7 +75,7 @@
   EXPECT_LE(admitted, 660);
 }
 
-TEST_F(TenantLimiterTest, RefusalIsNotRunAndTellsWhenToComeBack) {
+TEST_F(TenantLimiterTest, RejectionIsNotRunAndHasRetryAfter) {
   std::optional<Error> refusal;
   for (int asked = 0; asked < 200 && !refusal; ++asked) {
     refusal = limiters_[0]->admit("limited");
@@ -86,7 +86,7 @@
   EXPECT_GE(refusal->retry_after, seconds(1));
 }
 
-TEST_F(TenantLimiterTest, GossipStaysWithinAFewBytesASecond) {
+TEST_F(TenantLimiterTest, GossipStaysWithinAFewBytesPerSecond) {
   run({200, 0, 0}, seconds(20));
   EXPECT_LE(nodes_[0]->gossip.published, 21);
   EXPECT_LE(nodes_[0]->gossip.published_bytes / 20, 60);
--- a/tests/routing/window_plan_test.cc
+++ b/tests/routing/window_plan_test.cc
@@ -1,4 +1,4 @@
-// Which workers are kept light for online work.
+// Selection of the workers that are kept lightly loaded for online work.
 #include "src/routing/window_plan.h"
 
 #include <gtest/gtest.h>
@@ -53,7 +53,7 @@
   EXPECT_FALSE(workers_[3].light);  // the first ones stay light
 }
 
-TEST_F(WindowPlanTest, ABurstMakesAllLightAndShutsBatchAtOnce) {
+TEST_F(WindowPlanTest, ABurstMakesAllWorkersLightAndClosesBatchAtOnce) {
   conditions_.burst = true;
   plan(1);
   EXPECT_EQ(light(workers_), 6U);
@@ -64,16 +64,16 @@
   EXPECT_EQ(window_limits(conditions, knobs_, RoutingSafeguards{}).sequences, 0U);
 }
 
-TEST(ArrivalRate, KnowsABurstWithinItsFirstArrivalsAndForgetsIt) {
+TEST(ArrivalRate, DetectsABurstWithinItsFirstArrivalsAndItsEnd) {
   const WindowKnobs knobs;
   ArrivalRate arrivals;
   MonotonicTime now{std::chrono::seconds(1)};
-  for (int count = 0; count < 400; ++count) {  // steady: 20 a second
+  for (int count = 0; count < 400; ++count) {  // steady: 20 per second
     now += std::chrono::milliseconds(50);
     arrivals.arrived(now, knobs);
     EXPECT_FALSE(arrivals.in_burst(now) && count > 100);
   }
-  for (int count = 0; count < 10; ++count) {  // burst: 400 a second
+  for (int count = 0; count < 10; ++count) {  // burst: 400 per second
     now += std::chrono::microseconds(2500);
     arrivals.arrived(now, knobs);
   }
@@ -82,7 +82,7 @@
   EXPECT_LT(arrivals.per_second(now + std::chrono::seconds(1), knobs), 1.0);
 }
 
-TEST_F(WindowPlanTest, WithoutOnlineWorkForLongAllAreFilled) {
+TEST_F(WindowPlanTest, AfterALongTimeWithoutOnlineWorkAllWorkersAreFilled) {
   plan(1);
   conditions_.idle = true;
   conditions_.may_shrink = true;
--- a/tests/routing/worker_directory_test.cc
+++ b/tests/routing/worker_directory_test.cc
@@ -1,4 +1,4 @@
-// Who is a worker and who is leaving: stale lists, marks and their races.
+// Which workers exist and which are leaving: stale machine lists, drain marks and their races.
 #include "tests/routing/routing_fixture.h"
 
 namespace chalkshed {
@@ -47,13 +47,13 @@
   uint64_t step_ = 0;
 };
 
-TEST_F(WorkerDirectoryTest, OperatorsDrainSpreadsAtOnceAndStopsNewWork) {
+TEST_F(WorkerDirectoryTest, AnOperatorsDrainReachesAllNodesAtOnceAndStopsNewWork) {
   EXPECT_GT(nodes_[1]->count_routed_to("w100"), 0);
   ASSERT_TRUE(nodes_[0]->router->drain("w100"));
   EXPECT_EQ(nodes_[0]->count_routed_to("w100"), 0);
   world_.clock.run_for(world_.hub.delay);
   EXPECT_EQ(nodes_[1]->count_routed_to("w100"), 0);
-  world_.clock.run_for(seconds(10));  // the list still calls it live
+  world_.clock.run_for(seconds(10));  // the list still shows it as live
   EXPECT_EQ(nodes_[1]->count_routed_to("w100"), 0);
 }
 
@@ -75,7 +75,7 @@
   EXPECT_EQ(nodes_[1]->count_routed_to("w101"), 0);
 }
 
-TEST_F(WorkerDirectoryTest, LeavingInTheListCountsWithinThreeSecondsAndAStaleListDoesNotLiftIt) {
+TEST_F(WorkerDirectoryTest, LeavingInTheListAppliesWithinThreeSecondsAndAStaleListDoesNotClearIt) {
   world_.machines.at(2).state = MachineState::kLeaving;
   world_.clock.run_for(seconds(3));
   EXPECT_TRUE(leaving(0, "w102"));
@@ -85,7 +85,7 @@
   EXPECT_TRUE(leaving(0, "w102"));
 }
 
-TEST_F(WorkerDirectoryTest, MarkYieldsToANewIncarnationOnly) {
+TEST_F(WorkerDirectoryTest, AMarkIsClearedByANewIncarnationOnly) {
   nodes_[0]->router->drain("w100");
   world_.clock.run_for(knobs_.directory.list_lag + seconds(1));
   EXPECT_TRUE(leaving(1, "w100"));
@@ -99,7 +99,7 @@
   EXPECT_FALSE(leaving(0, "w100"));
 }
 
-TEST_F(WorkerDirectoryTest, RestoreOverrulesTheListUntilItCallsTheWorkerLive) {
+TEST_F(WorkerDirectoryTest, RestoreOverridesTheListUntilItShowsTheWorkerAsLive) {
   world_.machines.at(0).state = MachineState::kLeaving;
   world_.clock.run_for(seconds(3));
   ASSERT_TRUE(leaving(1, "w100"));
@@ -114,7 +114,7 @@
   EXPECT_TRUE(leaving(0, "w100"));
 }
 
-TEST_F(WorkerDirectoryTest, RestoreDoesNotHoldAgainstALaterOwnReport) {
+TEST_F(WorkerDirectoryTest, ALaterOwnReportOverridesARestore) {
   nodes_[0]->router->drain("w100");
   nodes_[0]->router->restore("w100");
   EXPECT_FALSE(leaving(0, "w100"));
@@ -123,16 +123,16 @@
   EXPECT_TRUE(leaving(1, "w100"));
 }
 
-TEST_F(WorkerDirectoryTest, RacingOperatorsEndAlikeEverywhere) {
+TEST_F(WorkerDirectoryTest, ConcurrentCommandsConvergeOnAllNodes) {
   nodes_[0]->router->drain("w100");
   world_.clock.run_for(milliseconds(1));
-  nodes_[1]->router->restore("w100");  // the other's order is still on its way
+  nodes_[1]->router->restore("w100");  // the other command has not arrived yet
   world_.clock.run_for(seconds(2));
   EXPECT_EQ(leaving(0, "w100"), leaving(1, "w100"));
   EXPECT_FALSE(leaving(0, "w100"));
 }
 
-TEST_F(WorkerDirectoryTest, LateMarkOfAnOldIncarnationDoesNotTouchTheNewOne) {
+TEST_F(WorkerDirectoryTest, ALateMarkOfAnOldIncarnationDoesNotApplyToTheNewOne) {
   world_.hub.cut = true;
   nodes_[0]->router->drain("w100");
   world_.hub.cut = false;
@@ -143,9 +143,9 @@
   EXPECT_FALSE(leaving(1, "w100"));
 }
 
-// The node that takes the order has not heard of the worker's restart: the order means the
-// restarted worker, in whichever order the facts reach the other nodes.
-TEST_F(WorkerDirectoryTest, OrderGivenOnALaggingListHoldsForTheRestartedWorker) {
+// The node that receives the command does not know of the worker's restart yet. The command applies
+// to the restarted worker, in whichever order other nodes learn of the command and the restart.
+TEST_F(WorkerDirectoryTest, ACommandBasedOnALaggingListAppliesToTheRestartedWorker) {
   route_and_report(1, "w100", report(2, false));
   nodes_[0]->router->drain("w100");
   world_.clock.run_for(seconds(1));
@@ -156,14 +156,14 @@
   EXPECT_TRUE(leaving(1, "w100"));
   world_.machines.at(0).incarnation = 3;
   world_.clock.run_for(knobs_.directory.list_lag);
-  EXPECT_TRUE(leaving(0, "w100"));  // learned within the lag of the list: may be the one meant
+  EXPECT_TRUE(leaving(0, "w100"));  // discovered within list_lag: may be the one meant
   world_.machines.at(0).incarnation = 4;
   world_.clock.run_for(seconds(2));
   EXPECT_FALSE(leaving(0, "w100"));
   EXPECT_FALSE(leaving(1, "w100"));
 }
 
-TEST_F(WorkerDirectoryTest, OneShortOrFailedListDropsNobody) {
+TEST_F(WorkerDirectoryTest, OneIncompleteOrFailedListDropsNoWorker) {
   const MachineListSnapshot full = world_.machines.snapshot;
   world_.machines.snapshot.machines.pop_back();
   world_.clock.run_for(seconds(2));
@@ -174,7 +174,7 @@
   EXPECT_EQ(nodes_[0]->router->directory().all().size(), 4);
 }
 
-TEST_F(WorkerDirectoryTest, AStaleListDoesNotResurrectADroppedWorker) {
+TEST_F(WorkerDirectoryTest, AStaleListDoesNotBringBackADroppedWorker) {
   const MachineListSnapshot full = world_.machines.snapshot;
   world_.machines.snapshot.machines.pop_back();
   world_.clock.run_for(seconds(15));
@@ -182,7 +182,7 @@
   world_.machines.snapshot = full;
   world_.clock.run_for(seconds(1));
   EXPECT_EQ(nodes_[0]->router->directory().find("w103"), nullptr);
-  world_.clock.run_for(seconds(4));  // it really is back
+  world_.clock.run_for(seconds(4));  // listed often enough in a row
   EXPECT_NE(nodes_[0]->router->directory().find("w103"), nullptr);
 }
 
--- a/tests/routing/worker_health_test.cc
+++ b/tests/routing/worker_health_test.cc
@@ -1,4 +1,4 @@
-// The record of one worker: ejection, return and recovery.
+// Health of one worker: ejection, slow start and recovery.
 #include "src/routing/worker_health.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 class WorkerHealthTest : public testing::Test {
  protected:
-  // One ejection and its whole duration, then the slow start.
+  // Ejects the worker and waits for the end of the ejection and of the slow start.
   void eject_and_wait() {
     const MonotonicTime begin = now_;
     health_.eject(now_, knobs_);
@@ -25,7 +25,7 @@
   Duration last_ejection_{0};
 };
 
-TEST_F(WorkerHealthTest, OneFailureIsEnoughWhileTheWorkerReturns) {
+TEST_F(WorkerHealthTest, OneFailureIsEnoughDuringTheRecovery) {
   health_.eject(now_, knobs_);
   now_ += knobs_.first_ejection;
   health_.success(now_, knobs_);
@@ -33,14 +33,14 @@
   EXPECT_TRUE(health_.failing(knobs_));
 }
 
-TEST_F(WorkerHealthTest, EjectionsWithoutASuccessAfterwardsGrowLonger) {
+TEST_F(WorkerHealthTest, EjectionsWithoutASuccessInBetweenGrowLonger) {
   eject_and_wait();
   const Duration first = last_ejection_;
   eject_and_wait();
   EXPECT_EQ(last_ejection_, 2 * first);
 }
 
-TEST_F(WorkerHealthTest, RecoveredWorkerIsJudgedLikeAnyOther) {
+TEST_F(WorkerHealthTest, ARecoveredWorkerIsTreatedLikeAnyOther) {
   eject_and_wait();
   const Duration first = last_ejection_;
   health_.success(now_, knobs_);
