--- a/src/gateway/active_request.h
+++ b/src/gateway/active_request.h
@@ -11,9 +11,9 @@
 namespace chalkshed {
 
 enum class RequestEnd {
-  kAnswered,    // the whole answer was written
-  kFailed,      // ended with an error that the caller can see
-  kCallerGone,  // the caller went away, or read so slowly that it was cut off
+  kAnswered,    // the complete answer was written
+  kFailed,      // ended with an error that is visible to the caller
+  kCallerGone,  // the caller disconnected, or was disconnected because it read too slowly
 };
 
 // @return the stable name used in logs and metrics.
@@ -21,11 +21,11 @@
 
 struct RequestOutcome {
   RequestEnd end = RequestEnd::kAnswered;
-  Ran ran = Ran::kUnknown;          // not answered: whether the request may have run
-  std::optional<Error> error = {};  // set when it failed
+  Ran ran = Ran::kUnknown;          // without an answer: whether the request may have run
+  std::optional<Error> error = {};  // set if it failed
 };
 
-// Called once, when the request has ended. The request must not be destroyed inside this call.
+// Called once, when the request has ended. The callback must not destroy the request.
 using DoneCallback = std::function<void(const RequestOutcome&)>;
 
 class ActiveRequest {
--- a/src/gateway/answer_writer.cc
+++ b/src/gateway/answer_writer.cc
@@ -5,8 +5,8 @@
 namespace chalkshed {
 namespace {
 
-// Whether a resend of the same request may succeed by itself after a while.
-bool is_passing(ErrorKind kind) {
+// Whether a retry of the same request may succeed after a while.
+bool is_transient(ErrorKind kind) {
   switch (kind) {
     case ErrorKind::kLimitExceeded:
     case ErrorKind::kOverloaded:
@@ -61,7 +61,7 @@
 }
 
 void AnswerWriter::refuse(Error error) {
-  if (!error.retry_after && is_passing(error.kind)) {
+  if (!error.retry_after && is_transient(error.kind)) {
     error.retry_after = default_retry_after_;
   }
   respond(error_response(error));
--- a/src/gateway/answer_writer.h
+++ b/src/gateway/answer_writer.h
@@ -1,5 +1,5 @@
-// The answer to one request, as the gateway writes it: carries the request id, bounds what a slow
-// reader may pile up, and gives refusals their Retry-After.
+// Writes the answer to one request: adds the request id, limits the bytes buffered for a slow
+// reader, and sets Retry-After on error responses.
 #pragma once
 
 #include <functional>
@@ -20,14 +20,14 @@
 
   bool started() const { return started_; }
   void start(int status, HttpHeaders headers);
-  // @return false when the caller reads too slowly; the answer has then been aborted.
+  // @return false if the caller reads too slowly and the answer was aborted.
   bool write(std::string_view chunk);
-  // Bytes that wait for the caller.
+  // Bytes not yet sent to the caller.
   size_t buffered_bytes() const { return writer_->buffered_bytes(); }
   void finish();
-  void abort();  // may be called again
+  void abort();  // may be called more than once
   void respond(HttpResponse response);
-  // Sends an error as the whole answer.
+  // Sends an error as the complete answer.
   void refuse(Error error);
   void set_on_closed(std::function<void()> callback);
 
--- a/src/gateway/authentication.h
+++ b/src/gateway/authentication.h
@@ -1,4 +1,4 @@
-// Who a caller is, by its API key.
+// Authentication of callers by API key.
 #pragma once
 
 #include <string>
@@ -10,10 +10,10 @@
 
 namespace chalkshed {
 
-// Name of the tenant that all callers are while the configuration has no tenants.
+// Tenant name of all callers if the configuration has no tenants.
 inline constexpr const char* kDefaultTenant = "default";
 
-// Finds the tenant whose API key the request carries as a bearer token.
+// Finds the tenant whose API key the request has as its bearer token.
 // @return the tenant's name. Errors, Ran::kNo: kUnauthenticated.
 Expected<std::string> authenticate(const HttpRequest& request, const Configuration& configuration);
 
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -19,7 +19,7 @@
   return path == kModelsPath || path.starts_with(std::string(kModelsPath) + "/");
 }
 
-// Methods that a proxy may send again by RFC 9110, section 9.2.2.
+// Methods that a proxy may retry according to RFC 9110, section 9.2.2.
 bool is_idempotent_method(std::string_view method) {
   return method == "GET" || method == "HEAD" || method == "PUT" || method == "DELETE" ||
          method == "OPTIONS";
@@ -30,17 +30,17 @@
     return std::nullopt;
   }
   return not_run(ErrorKind::kInvalidRequest,
-                 request.path + " does not take the method " + request.method,
+                 request.path + " does not support the method " + request.method,
                  "use " + std::string(method));
 }
 
 Error unknown_path(const std::string& path) {
-  return not_run(ErrorKind::kNotFound, "there is nothing at '" + path + "'",
+  return not_run(ErrorKind::kNotFound, "no resource at '" + path + "'",
                  "use /v1/chat/completions, /v1/completions, /v1/models, /v1/batches or "
                  "/services/<name>/...");
 }
 
-// The path behind /services/<name>, at least "/".
+// The service name of /services/<name>/..., and the rest of the path, which is at least "/".
 struct ServicePath {
   std::string service;
   std::string rest;
@@ -55,20 +55,21 @@
   return {std::string(path.substr(0, slash)), std::string(path.substr(slash))};
 }
 
-// Larger bodies would hold up the event loop, and other callers' requests with it, while they are
-// read and copied.
+// Reading and copying larger bodies would block the event loop, and thereby the requests of other
+// callers.
 std::optional<Error> check_body_size(const std::string& body, size_t limit) {
   if (body.size() <= limit) {
     return std::nullopt;
   }
   return not_run(ErrorKind::kTooLarge,
-                 "the body of " + std::to_string(body.size()) + " bytes is over the limit",
+                 "the body of " + std::to_string(body.size()) + " bytes exceeds the limit",
                  "send at most " + std::to_string(limit) + " bytes");
 }
 
-// What to claim before the request runs; nothing unless it must run at most once.
-std::optional<ClaimRequest> claim_of(const HttpRequest& request, const RequestContext& context,
-                                     const CallerOptions& options) {
+// The claim to acquire before the request runs, for requests that must run at most once.
+std::optional<ClaimRequest> make_claim_request(const HttpRequest& request,
+                                               const RequestContext& context,
+                                               const CallerOptions& options) {
   if (!options.not_repeatable) {
     return std::nullopt;
   }
@@ -145,9 +146,8 @@
   Admitted admitted;
   admitted.configuration = configuration_.current();
   if (!admitted.configuration) {
-    return tl::unexpected(not_run(ErrorKind::kUnavailable,
-                                  "this node has not learned the configuration yet",
-                                  "send it again, or to another node"));
+    return tl::unexpected(not_run(ErrorKind::kUnavailable, "this node has no configuration yet",
+                                  "retry, or use another node"));
   }
   Expected<std::string> tenant = admit_caller(request, *admitted.configuration, admission_);
   if (!tenant) {
@@ -201,8 +201,8 @@
     return std::make_unique<ModelRequest>(environment_, context, std::move(completion),
                                           std::move(run_writer), std::move(done));
   };
-  run(admitted.context, claim_of(request, admitted.context, admitted.options), std::move(make_run),
-      writer);
+  run(admitted.context, make_claim_request(request, admitted.context, admitted.options),
+      std::move(make_run), writer);
   return std::nullopt;
 }
 
@@ -229,7 +229,8 @@
   if (auto error = check_body_size(request.body, environment_.knobs.max_plain_body_bytes)) {
     return error;
   }
-  std::optional<ClaimRequest> claim = claim_of(request, admitted.context, admitted.options);
+  std::optional<ClaimRequest> claim =
+      make_claim_request(request, admitted.context, admitted.options);
   HttpRequest forwarded = std::move(request);
   forwarded.path = std::move(path.rest);
   auto make_run = [this, context = admitted.context, forwarded = std::move(forwarded)](
@@ -246,7 +247,7 @@
   if (std::optional<Error> error = require_method(request, "GET")) {
     return error;
   }
-  // Models have no creation date here; the API wants a number.
+  // Models have no creation date here, but the API requires a number.
   constexpr int64_t kCreated = 0;
   HttpResponse response = {200, {{"Content-Type", "application/json"}}, ""};
   if (request.path == kModelsPath) {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,4 +1,4 @@
-// The callers' API for online work: completions, models, and plain services by pass-through.
+// The callers' API for online requests: completions, models, and pass-through to plain services.
 #pragma once
 
 #include <cstdint>
@@ -23,19 +23,19 @@
   // Serves /v1/completions, /v1/chat/completions, /v1/models[/...] and /services/<name>/...
   void handle(HttpRequest request, ResponseWriterPtr writer) override;
 
-  // Requests whose answers have not ended, and outcomes that are not stored yet: what a planned
-  // stop waits for.
+  // Number of requests without a final answer and of outcomes that are not stored yet. A planned
+  // stop waits until it is zero.
   size_t requests_in_progress() const;
 
  private:
-  // A request that passed the checks of every path.
+  // A request that has passed the checks common to all paths.
   struct Admitted {
     ConfigurationPtr configuration;
     CallerOptions options;
     RequestContext context;
   };
 
-  // Errors are Ran::kNo. On success the writer was taken over.
+  // Errors are Ran::kNo. On success, ownership of the writer was taken.
   std::optional<Error> try_handle(HttpRequest& request, const std::string& request_id,
                                   ResponseWriterPtr& writer);
   Expected<Admitted> admit(const HttpRequest& request, const std::string& request_id);
@@ -47,8 +47,8 @@
                                      ResponseWriterPtr& writer);
 
   using RunFactory = std::function<ActiveRequestPtr(ResponseWriterPtr, DoneCallback)>;
-  // Runs a request to its end. @param claim what to claim first, for one that must run at most
-  // once.
+  // Runs a request to its end. @param claim the claim to acquire first, for a request that must run
+  // at most once.
   void run(const RequestContext& context, std::optional<ClaimRequest> claim, RunFactory make_run,
            ResponseWriterPtr& writer);
   DoneCallback when_done(uint64_t id, const RequestContext& context);
--- a/src/gateway/gateway_environment.h
+++ b/src/gateway/gateway_environment.h
@@ -1,4 +1,4 @@
-// What all requests in progress of one gateway share.
+// Dependencies and settings shared by all requests of one gateway.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace chalkshed {
 
-// Makes identifiers that no other attempt of any node and any of its starts has.
+// Generates identifiers that are unique among all attempts of all nodes and their incarnations.
 class UniqueIds {
  public:
   explicit UniqueIds(const NodeIdentity& identity)
--- a/src/gateway/model_request.cc
+++ b/src/gateway/model_request.cc
@@ -22,7 +22,7 @@
       tokens_(environment.knobs.safeguards.resume_checks_token_index),
       stall_timer_(environment.dispatcher.create_timer([this] { on_stalled(); })) {}
 
-void ModelRequest::describe(RouteRequest& request) const {
+void ModelRequest::fill_route_request(RouteRequest& request) const {
   request.prompt = completion_.prompt;
   request.prompt_tokens = completion_.prompt_tokens;
   request.max_tokens = completion_.max_tokens;
@@ -40,7 +40,7 @@
   request.fresh_connection =
       !context().repeatable && knobs.safeguards.fresh_connection_when_not_repeatable;
   request.connect_timeout = std::min(knobs.connect_timeout, time_left());
-  request.idle_timeout = first_answer_patience();
+  request.idle_timeout = first_answer_timeout();
   attempt_has_tokens_ = false;
   stream_ = environment().engine_client.generate(routed().address(), std::move(request), *this);
 }
@@ -52,8 +52,7 @@
 
 void ModelRequest::on_stalled() {
   attempt_failed(maybe_run(ErrorKind::kUpstreamFailed,
-                           "the worker stopped in the middle of its answer",
-                           "send the request again"));
+                           "the worker stopped sending during its answer", "retry the request"));
 }
 
 void ModelRequest::on_chunk(const GenerateChunk& chunk) {
@@ -74,13 +73,13 @@
 
 void ModelRequest::on_complete(const GenerateResult& result) {
   routed().report_load(result.load);
-  const bool whole = result.completion_tokens == tokens_.tokens().size();
-  if (!whole && environment().knobs.safeguards.end_mark_required) {
+  const bool complete_answer = result.completion_tokens == tokens_.tokens().size();
+  if (!complete_answer && environment().knobs.safeguards.end_mark_required) {
     return attempt_failed(maybe_run(ErrorKind::kUpstreamFailed,
                                     "the worker ended its stream after " +
                                         std::to_string(tokens_.tokens().size()) + " of " +
                                         std::to_string(result.completion_tokens) + " tokens",
-                                    "send the request again"));
+                                    "retry the request"));
   }
   complete(result);
 }
@@ -95,7 +94,7 @@
   attempt_failed(error);
 }
 
-// Only the end mark is missing, and it could not say anything but "length".
+// Only the end mark is missing, and its finish reason could only be "length".
 void ModelRequest::complete_at_limit() {
   GenerateResult result;
   result.finish_reason = FinishReason::kLength;
@@ -121,7 +120,7 @@
   if (answer().write(opening + events)) {
     return true;
   }
-  reader_too_slow();
+  handle_slow_reader();
   return false;
 }
 
@@ -142,8 +141,8 @@
   answered();
 }
 
-// An error event and a connection that breaks off; never the [DONE] mark.
-void ModelRequest::break_answer(const Error& error) {
+// Sends an error event and aborts the connection, without the [DONE] mark.
+void ModelRequest::abort_answer(const Error& error) {
   answer().write(CompletionStreamFormatter::failure(error));
   answer().abort();
 }
--- a/src/gateway/model_request.h
+++ b/src/gateway/model_request.h
@@ -1,4 +1,4 @@
-// One completion for an online caller, plain or streamed.
+// One online completion request, streamed or not.
 #pragma once
 
 #include "src/gateway/online_request.h"
@@ -13,11 +13,11 @@
                CompletionRequest completion, ResponseWriterPtr writer, DoneCallback done);
 
  private:
-  void describe(RouteRequest& request) const override;
+  void fill_route_request(RouteRequest& request) const override;
   void send_attempt() override;
   void drop_attempt() override;
   bool can_continue() const override { return true; }
-  void break_answer(const Error& error) override;
+  void abort_answer(const Error& error) override;
 
   void on_chunk(const GenerateChunk& chunk) override;
   void on_complete(const GenerateResult& result) override;
@@ -35,7 +35,7 @@
   const CompletionStreamFormatter formatter_;
   TokenSequence tokens_;
   bool attempt_has_tokens_ = false;
-  TimerPtr stall_timer_;  // armed between the tokens of an attempt
+  TimerPtr stall_timer_;  // armed between the chunks of an attempt
   GenerateStreamPtr stream_;
 };
 
--- a/src/gateway/once_request.cc
+++ b/src/gateway/once_request.cc
@@ -3,7 +3,7 @@
 namespace chalkshed {
 namespace {
 
-// Nobody waits for the claim any more: nothing was and nothing will be dispatched under it.
+// The request has ended: nothing was dispatched under the claim, and nothing will be.
 void release_unused(Expected<OnceClaimResult>& result) {
   if (!result) {
     return;
@@ -45,7 +45,7 @@
                 });
 }
 
-bool OnceRequest::too_late() const {
+bool OnceRequest::deadline_passed() const {
   return environment_.knobs.safeguards.deadline_checked_before_dispatch &&
          environment_.time_source.monotonic_now() >= context_.deadline;
 }
@@ -60,7 +60,7 @@
     return end({RequestEnd::kAnswered, Ran::kUnknown, std::nullopt});
   }
   ClaimPtr claim = std::get<ClaimPtr>(std::move(*result));
-  if (too_late()) {
+  if (deadline_passed()) {
     // The node may have been paused since it sent the claim.
     claim->release();
     return on_deadline();
@@ -91,7 +91,7 @@
 void OnceRequest::on_deadline() {
   refuse(not_run(ErrorKind::kDeadlineExceeded,
                  "the request could not be claimed before its deadline",
-                 "send it again with the same Idempotency-Key"));
+                 "retry with the same Idempotency-Key"));
 }
 
 void OnceRequest::on_caller_gone() { end({RequestEnd::kCallerGone, Ran::kNo, std::nullopt}); }
--- a/src/gateway/once_request.h
+++ b/src/gateway/once_request.h
@@ -1,5 +1,5 @@
-// One request that must run at most once: claimed in the store, dispatched by whoever holds the
-// claim, answered from the record ever after.
+// One request that must run at most once. It is claimed in the store, dispatched only by the holder
+// of the claim, and later resends are answered from the stored record.
 #pragma once
 
 #include "src/gateway/active_request.h"
@@ -26,7 +26,7 @@
   void on_run_done(const RequestOutcome& outcome);
   void on_deadline();
   void on_caller_gone();
-  bool too_late() const;
+  bool deadline_passed() const;
   void refuse(Error error);
   void end(const RequestOutcome& outcome);
 
@@ -37,12 +37,12 @@
   RunFactory make_run_;
   ResponseWriterPtr writer_;
   DoneCallback done_;
-  TimerPtr deadline_timer_;  // until the run begins, which then has its own
+  TimerPtr deadline_timer_;  // until the start of the run, which has its own
   bool ended_ = false;
   ClaimPtr claim_;
   std::shared_ptr<AnswerRecording> recording_;
   ActiveRequestPtr run_;
-  // Tells a claim that arrives late that nobody waits for it any more.
+  // Expires with the request, so that a claim that arrives later is released.
   std::shared_ptr<OnceRequest*> self_ = std::make_shared<OnceRequest*>(this);
 };
 
--- a/src/gateway/online_request.cc
+++ b/src/gateway/online_request.cc
@@ -5,8 +5,8 @@
 namespace chalkshed {
 namespace {
 
-// Another worker would refuse the request for the same reason, so it says nothing about this one.
-bool is_fault_of_request(ErrorKind kind) {
+// Every worker would reject the request for the same reason, so it is not a fault of this worker.
+bool is_request_error(ErrorKind kind) {
   return kind == ErrorKind::kInvalidRequest || kind == ErrorKind::kTooLarge;
 }
 
@@ -42,19 +42,19 @@
   return context_.deadline - environment_.time_source.monotonic_now();
 }
 
-Duration OnlineRequest::first_answer_patience() const {
+Duration OnlineRequest::first_answer_timeout() const {
   const GatewayKnobs& knobs = environment_.knobs;
   if (!context_.repeatable) {
     return time_left();
   }
   const double share = knobs.first_token_share * static_cast<double>(time_left().count());
-  const Duration patience = std::max(knobs.idle_timeout, Duration(std::llround(share)));
-  return std::min(patience, time_left());
+  const Duration timeout = std::max(knobs.idle_timeout, Duration(std::llround(share)));
+  return std::min(timeout, time_left());
 }
 
 void OnlineRequest::begin_attempt() {
-  const bool too_late = time_left() <= Duration(0);
-  if (too_late && environment_.knobs.safeguards.deadline_checked_before_dispatch) {
+  const bool deadline_passed = time_left() <= Duration(0);
+  if (deadline_passed && environment_.knobs.safeguards.deadline_checked_before_dispatch) {
     return on_deadline();
   }
   RouteRequest request;
@@ -63,7 +63,7 @@
   request.urgency = context_.urgency;
   request.time_left = time_left();
   request.excluded = excluded_;
-  describe(request);
+  fill_route_request(request);
   Expected<RoutedRequestPtr> routed = environment_.router.route(request);
   if (!routed) {
     return fail(routed.error());
@@ -74,15 +74,15 @@
 }
 
 void OnlineRequest::attempt_failed(Error error) {
-  const bool fault_of_request = is_fault_of_request(error.kind);
-  if (!fault_of_request) {
+  const bool request_error = is_request_error(error.kind);
+  if (!request_error) {
     routed_->report_failure(error);
   }
   excluded_.push_back(routed_->worker());
   drop_attempt();
   routed_.reset();
   may_have_run_ = may_have_run_ || error.ran != Ran::kNo;
-  if (fault_of_request || !may_retry(error)) {
+  if (request_error || !may_retry(error)) {
     return fail(error);
   }
   begin_attempt();
@@ -98,7 +98,7 @@
 }
 
 Ran OnlineRequest::ran() const {
-  // An attempt under way may have reached its worker.
+  // An attempt in progress may have reached its worker.
   const bool possible = may_have_run_ || routed_ != nullptr;
   const bool certain = environment_.knobs.safeguards.not_run_only_when_certain;
   return possible && certain ? Ran::kUnknown : Ran::kNo;
@@ -107,7 +107,7 @@
 void OnlineRequest::fail(Error error) {
   error.ran = ran();
   if (answer_.started()) {
-    break_answer(error);
+    abort_answer(error);
   } else {
     answer_.refuse(error);
   }
@@ -116,7 +116,7 @@
 
 void OnlineRequest::on_deadline() {
   Error error{ErrorKind::kDeadlineExceeded, "the request did not finish before its deadline",
-              "allow more time with X-Chalkshed-Deadline-Ms, or ask for fewer tokens", Ran::kNo,
+              "allow more time with X-Chalkshed-Deadline-Ms, or request fewer tokens", Ran::kNo,
               std::nullopt};
   fail(std::move(error));
 }
@@ -128,7 +128,7 @@
   end({RequestEnd::kCallerGone, ran(), std::nullopt});
 }
 
-void OnlineRequest::reader_too_slow() {
+void OnlineRequest::handle_slow_reader() {
   end({RequestEnd::kCallerGone, Ran::kUnknown, std::nullopt});
 }
 
--- a/src/gateway/online_request.h
+++ b/src/gateway/online_request.h
@@ -1,5 +1,5 @@
-// The life of one online request: attempts on workers, retries where they are safe, the deadline,
-// and one visible end. What is sent and how it is answered is left to the derived classes.
+// The lifecycle of one online request: attempts on workers, safe retries, the deadline, and exactly
+// one visible end. The derived classes define what is sent and how it is answered.
 #pragma once
 
 #include <vector>
@@ -18,23 +18,23 @@
   void start() override;
 
  protected:
-  // What the router needs to know, beside what the context holds.
-  virtual void describe(RouteRequest& request) const = 0;
+  // Sets the fields that the router needs in addition to those from the context.
+  virtual void fill_route_request(RouteRequest& request) const = 0;
   // Sends the request to the worker of routed().
   virtual void send_attempt() = 0;
-  // Abandons the attempt under way for good; none of its events arrives afterwards.
+  // Cancels the current attempt; none of its events arrives afterwards.
   virtual void drop_attempt() = 0;
   // Whether another attempt could still continue the answer.
   virtual bool can_continue() const = 0;
-  // Shows the caller that an answer that has already started is broken.
-  virtual void break_answer(const Error& error) = 0;
+  // Aborts an answer that has already started, visibly to the caller.
+  virtual void abort_answer(const Error& error) = 0;
 
-  // The attempt failed: tries another worker where that is safe, else ends the request.
+  // Handles a failed attempt: retries on another worker if that is safe, else ends the request.
   void attempt_failed(Error error);
-  // The whole answer was written.
+  // The complete answer was written.
   void answered();
-  // The caller reads too slowly and was cut off.
-  void reader_too_slow();
+  // Ends the request whose answer was aborted because the caller reads too slowly.
+  void handle_slow_reader();
 
   GatewayEnvironment& environment() { return environment_; }
   const RequestContext& context() const { return context_; }
@@ -42,9 +42,9 @@
   const AnswerWriter& answer() const { return answer_; }
   RoutedRequest& routed() { return *routed_; }
   Duration time_left() const;
-  // How long an attempt may wait for the first part of its answer, so that time for another one is
-  // left where another one would be allowed.
-  Duration first_answer_patience() const;
+  // How long an attempt may wait for the start of its answer. It leaves time for another attempt if
+  // one would be allowed.
+  Duration first_answer_timeout() const;
   bool ended() const { return ended_; }
 
  private:
@@ -61,10 +61,10 @@
   AnswerWriter answer_;
   DoneCallback done_;
   TimerPtr deadline_timer_;
-  RoutedRequestPtr routed_;  // set while an attempt is under way
+  RoutedRequestPtr routed_;  // set during an attempt
   std::vector<WorkerId> excluded_;
   uint32_t attempts_ = 0;
-  bool may_have_run_ = false;  // an attempt that ended may have run
+  bool may_have_run_ = false;  // an earlier attempt may have run
   bool ended_ = false;
 };
 
--- a/src/gateway/pass_through_request.cc
+++ b/src/gateway/pass_through_request.cc
@@ -27,7 +27,7 @@
   options.fresh_connection =
       !context().repeatable && knobs.safeguards.fresh_connection_when_not_repeatable;
   options.connect_timeout = std::min(knobs.connect_timeout, time_left());
-  options.idle_timeout = first_answer_patience();
+  options.idle_timeout = first_answer_timeout();
   call_ = environment().backend_client.send(routed().address(), request_, options, *this);
 }
 
@@ -53,7 +53,7 @@
     return;
   }
   if (!answer().write(data)) {
-    return reader_too_slow();
+    return handle_slow_reader();
   }
   if (answer().buffered_bytes() > environment().knobs.pause_above_buffered_bytes) {
     call_->pause_reading();
--- a/src/gateway/pass_through_request.h
+++ b/src/gateway/pass_through_request.h
@@ -1,4 +1,5 @@
-// One request to a plain service, handed to a back end and its answer handed back as it comes.
+// One request to a plain service: forwards it to a back end, and the answer to the caller as it
+// arrives.
 #pragma once
 
 #include "src/gateway/online_request.h"
@@ -7,17 +8,17 @@
 
 class PassThroughRequest : public OnlineRequest, private HttpCallCallbacks {
  public:
-  // @param request as the caller sent it, with the path that the back end is to see.
+  // @param request the caller's request, with the path for the back end.
   PassThroughRequest(GatewayEnvironment& environment, RequestContext context, HttpRequest request,
                      ResponseWriterPtr writer, DoneCallback done);
 
  private:
-  void describe(RouteRequest&) const override {}
+  void fill_route_request(RouteRequest&) const override {}
   void send_attempt() override;
   void drop_attempt() override { call_.reset(); }
-  // A back end cannot continue an answer that another one began.
+  // A back end cannot continue an answer that another one has started.
   bool can_continue() const override { return !answer().started(); }
-  void break_answer(const Error&) override { answer().abort(); }
+  void abort_answer(const Error&) override { answer().abort(); }
 
   void on_headers(int status, const HttpHeaders& headers) override;
   void on_body(std::string_view data) override;
@@ -27,10 +28,10 @@
   bool has_no_body(int status) const;
   void check_drained();
 
-  HttpRequest request_;  // as the last attempt sent it
+  HttpRequest request_;  // as sent by the last attempt
   const HttpHeaders caller_headers_;
-  HttpResponse bodiless_;  // status and headers of an answer that has no body by its nature
-  TimerPtr drain_timer_;   // armed while the answer is paused
+  HttpResponse bodiless_;  // status and headers of an answer that cannot have a body
+  TimerPtr drain_timer_;   // armed while reading is paused
   HttpCallPtr call_;
 };
 
--- a/src/gateway/recording_writer.cc
+++ b/src/gateway/recording_writer.cc
@@ -8,7 +8,7 @@
 
 void AnswerRecording::start(int status, const HttpHeaders& headers) {
   response_.status = status;
-  // Each resend has a request id of its own.
+  // Each resend has its own request id.
   std::copy_if(headers.begin(), headers.end(), std::back_inserter(response_.headers),
                [](const HttpHeader& header) { return header.name != kRequestIdHeader; });
 }
@@ -34,8 +34,8 @@
       recording_(std::move(recording)),
       max_buffered_bytes_(max_buffered_bytes) {
   if (writer_) {
-    // The writer calls this from within itself, so that it is only let go of, not destroyed.
-    writer_->set_on_closed([this] { gone_ = std::move(writer_); });
+    // Called by the writer itself, which must therefore not be destroyed here.
+    writer_->set_on_closed([this] { closed_writer_ = std::move(writer_); });
   }
 }
 
--- a/src/gateway/request_admission.cc
+++ b/src/gateway/request_admission.cc
@@ -25,9 +25,9 @@
   const auto [parsed_to, error] = std::from_chars(value.data(), end, milliseconds);
   const bool whole = error == std::errc() && parsed_to == end;
   if (!whole || milliseconds < 1 || milliseconds > longest_milliseconds) {
-    return bad_header(
-        kDeadlineHeader, value,
-        "send whole milliseconds between 1 and " + std::to_string(longest_milliseconds));
+    return bad_header(kDeadlineHeader, value,
+                      "send an integer number of milliseconds between 1 and " +
+                          std::to_string(longest_milliseconds));
   }
   return Duration(std::chrono::milliseconds(milliseconds));
 }
@@ -74,10 +74,9 @@
   }
   if (options.not_repeatable && !options.idempotency_key) {
     return tl::unexpected(
-        not_run(ErrorKind::kInvalidRequest,
-                "the request is not to be repeated but carries no Idempotency-Key",
+        not_run(ErrorKind::kInvalidRequest, "a non-repeatable request needs an Idempotency-Key",
                 "send an Idempotency-Key that is new for each request and the same for its "
-                "resends; without it a resend could not be recognised"));
+                "resends; without it a resend cannot be recognized"));
   }
   options.urgency_hint = find_header(headers, kUrgencyHeader).value_or("");
   return options;
@@ -105,10 +104,10 @@
                                   RequestContext& context) {
   const PolicyDecision decision = policies.evaluate(attributes);
   if (decision.refuse) {
-    Error error =
-        not_run(ErrorKind::kOverloaded,
-                "the policy of service '" + service.name + "' refused: " + decision.refusal_reason,
-                "send it again later, or ask the operator what the policy allows");
+    Error error = not_run(
+        ErrorKind::kOverloaded,
+        "rejected by the policy of service '" + service.name + "': " + decision.refusal_reason,
+        "retry later, or ask the operator what the policy allows");
     error.retry_after = knobs.default_retry_after;
     return error;
   }
--- a/src/gateway/request_admission.h
+++ b/src/gateway/request_admission.h
@@ -1,5 +1,5 @@
-// The checks that every online request passes before it is routed: who the caller is, its limits,
-// its headers, and what the service's policy says of it.
+// The checks of every online request before it is routed: authentication, rate limits, headers, and
+// the policy of the service.
 #pragma once
 
 #include <string>
@@ -16,7 +16,7 @@
 
 inline constexpr size_t kMaxRequestIdBytes = 128;
 
-// What a caller's headers ask for.
+// Options from the headers of a caller's request.
 struct CallerOptions {
   std::optional<Duration> deadline;
   bool not_repeatable = false;
@@ -24,29 +24,29 @@
   std::string urgency_hint;
 };
 
-// Errors, Ran::kNo: kInvalidRequest, naming the header.
+// Errors, Ran::kNo: kInvalidRequest with the name of the header.
 Expected<CallerOptions> read_caller_options(const HttpHeaders& headers, const GatewayKnobs& knobs);
 
-// @return the caller's request id where it is usable, else `generated`.
+// @return the caller's request id if it is valid, else `generated`.
 std::string choose_request_id(const HttpHeaders& headers, std::string generated);
 
-// Finds the caller and takes the request from its limit.
+// Authenticates the caller and counts the request towards the tenant's limit.
 // @return the tenant. Errors, Ran::kNo: kUnauthenticated, kLimitExceeded.
 Expected<std::string> admit_caller(const HttpRequest& request, const Configuration& configuration,
                                    TenantAdmission& admission);
 
 // Applies the service's policy: sets the context's urgency and deadline.
-// @param context received and service are set.
-// Errors, Ran::kNo: kOverloaded when the policy refuses.
+// @param context must have `received` and `service` set.
+// Errors, Ran::kNo: kOverloaded if the policy rejects the request.
 std::optional<Error> apply_policy(PolicyEvaluator& policies, const RequestAttributes& attributes,
                                   const ServiceConfiguration& service, const GatewayKnobs& knobs,
                                   RequestContext& context);
 
-// Model service that offers the model. Errors, Ran::kNo: kUnknownModel.
+// Finds the model service that offers the model. Errors, Ran::kNo: kUnknownModel.
 Expected<const ServiceConfiguration*> find_service_of_model(const Configuration& configuration,
                                                             const std::string& model);
 
-// Plain service by name. Errors, Ran::kNo: kUnknownService.
+// Finds a plain service by name. Errors, Ran::kNo: kUnknownService.
 Expected<const ServiceConfiguration*> find_plain_service(const Configuration& configuration,
                                                          const std::string& name);
 
--- a/src/gateway/request_context.h
+++ b/src/gateway/request_context.h
@@ -1,4 +1,4 @@
-// What the gateway knows of an admitted request.
+// Metadata of an admitted request.
 #pragma once
 
 #include <string>
@@ -9,11 +9,11 @@
 namespace chalkshed {
 
 struct RequestContext {
-  std::string request_id;  // the caller's, or generated; echoed in the answer and in logs
+  std::string request_id;  // set by the caller or generated; included in the answer and in logs
   std::string tenant;
   std::string service;
   Urgency urgency = Urgency::kNormal;
-  // May be sent to a worker again though an earlier attempt may have run.
+  // Whether the request may be retried after an attempt that may have run.
   bool repeatable = true;
   MonotonicTime received{};
   MonotonicTime deadline{};
--- a/src/gateway/token_sequence.h
+++ b/src/gateway/token_sequence.h
@@ -1,4 +1,4 @@
-// The tokens of one answer, put together from one or more attempts.
+// The tokens of one answer, assembled from one or more attempts.
 #pragma once
 
 #include <string>
@@ -10,13 +10,14 @@
 
 class TokenSequence {
  public:
-  // @param check_index whether tokens are taken by their index rather than as they come.
+  // @param check_index whether tokens are placed by their index rather than appended as they
+  // arrive.
   explicit TokenSequence(bool check_index) : check_index_(check_index) {}
 
-  // Adds the chunk's tokens that are new. Tokens that are already known are skipped.
-  // Errors, Ran::kUnknown: kUpstreamFailed when tokens are missing in front of the chunk or known
-  // ones differ; nothing is added then.
-  // @return the number of tokens added; they stand at the end of tokens().
+  // Appends the new tokens of the chunk and skips those already present.
+  // Errors, Ran::kUnknown: kUpstreamFailed if tokens before the chunk are missing or tokens already
+  // present differ; nothing is added then.
+  // @return the number of tokens added at the end of tokens().
   Expected<size_t> add(const GenerateChunk& chunk);
 
   const std::vector<std::string>& tokens() const { return tokens_; }
--- a/tests/gateway/authentication_test.cc
+++ b/tests/gateway/authentication_test.cc
@@ -34,7 +34,7 @@
   }
 }
 
-TEST(AuthenticationTest, WithoutTenantsEveryoneIsTheDefault) {
+TEST(AuthenticationTest, WithoutTenantsEveryCallerIsTheDefaultTenant) {
   EXPECT_EQ(authenticate(HttpRequest(), Configuration()).value(), kDefaultTenant);
 }
 
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -1,4 +1,4 @@
-// A gateway over scripted workers, back ends and a table, in virtual time.
+// A gateway with scripted workers, back ends and a table store, in virtual time.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,14 +12,14 @@
 
 namespace chalkshed {
 
-// What a caller saw of its answer. Outlives the writer.
+// The answer as received by a caller. Outlives the writer.
 struct SeenAnswer {
   int status = 0;
   HttpHeaders headers;
   std::string body;
   bool finished = false;
   bool aborted = false;
-  size_t unread_bytes = 0;  // set by the test: what the caller has not taken
+  size_t unread_bytes = 0;  // set by the test: bytes buffered for the caller
   std::function<void()> on_closed;
 
   nlohmann::json json() const { return nlohmann::json::parse(body); }
@@ -74,7 +74,7 @@
 struct FakeStream {
   Address worker;
   GenerateRequest request;
-  GenerateCallbacks* callbacks = nullptr;  // null once destroyed, that is cancelled
+  GenerateCallbacks* callbacks = nullptr;  // null after cancellation, which destroys the stream
 
   bool open() const { return callbacks != nullptr; }
   void send(uint32_t first_index, std::vector<std::string> tokens) {
@@ -139,7 +139,7 @@
   };
 };
 
-// Gives out workers w0, w1, w2 in turn, leaving out the excluded ones.
+// Routes to the first of the workers w0, w1, w2 that is not excluded.
 class FakeRouter : public Router {
  public:
   Expected<RoutedRequestPtr> route(const RouteRequest& request) override {
@@ -207,8 +207,8 @@
   ConfigurationPtr configuration;
 };
 
-// Table with a delay of a millisecond and faults set by the test. Transactions are applied on the
-// table's own time; answers wait for the node's event loop.
+// Table store with a delay of a millisecond and faults set by the test. Transactions are applied
+// independently of the node; answers wait for the node's event loop.
 class FakeTable : public TableStore {
  public:
   explicit FakeTable(VirtualClock& clock) : clock_(clock) {}
@@ -240,7 +240,7 @@
 
   static constexpr Duration kDelay = std::chrono::milliseconds(1);
   MemoryTable table;
-  VirtualDispatcher* node = nullptr;  // whose event loop runs the answers
+  VirtualDispatcher* node = nullptr;  // event loop that runs the callbacks
   bool down = false;
   int answers_to_lose = 0;
   int commits = 0;
@@ -289,7 +289,7 @@
     start_node("n1");
   }
 
-  // Starts another node over the same table, as if the one before had died.
+  // Starts another node with the same table store, as if the previous one had crashed.
   void start_node(const std::string& id, const GatewayKnobs& knobs = {}) {
     gateway_.reset();
     dispatcher_ = std::make_unique<VirtualDispatcher>(clock_);
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -58,7 +58,7 @@
   expect_refused(completion(false), 503, "unavailable");
 }
 
-TEST_F(GatewayTest, LimitAndPolicyRefusalsTellWhenToComeBack) {
+TEST_F(GatewayTest, LimitAndPolicyRejectionsHaveRetryAfter) {
   admission_.error = not_run(ErrorKind::kLimitExceeded, "used up", "later");
   admission_.error->retry_after = seconds(7);
   const auto limited = call(completion(false));
@@ -126,19 +126,19 @@
   backend_call(0).callbacks->on_headers(200, {});
   backend_call(0).callbacks->on_body("par");
   backend_call(0).fail(ErrorKind::kUpstreamFailed, Ran::kUnknown);
-  EXPECT_EQ(backends_.calls.size(), 1U);  // another back end cannot continue it
+  EXPECT_EQ(backends_.calls.size(), 1U);  // another back end cannot continue the answer
   EXPECT_TRUE(answer->aborted);
   EXPECT_FALSE(answer->finished);
 }
 
-TEST_F(GatewayTest, OnlyIdempotentMethodsAreSentAgainWhenTheyMayHaveRun) {
+TEST_F(GatewayTest, OnlyIdempotentMethodsAreRetriedAfterTheyMayHaveRun) {
   call(plain("GET", "/services/maps/x"));
   backend_call(0).fail(ErrorKind::kUpstreamFailed, Ran::kUnknown);
   EXPECT_EQ(backends_.calls.size(), 2U);
 
   const auto posted = call(plain("POST", "/services/maps/x"));
   EXPECT_TRUE(backend_call(2).options.fresh_connection);
-  backend_call(2).fail(ErrorKind::kUnavailable, Ran::kNo);  // certainly not run: once more
+  backend_call(2).fail(ErrorKind::kUnavailable, Ran::kNo);  // certainly not run: retried
   ASSERT_EQ(backends_.calls.size(), 4U);
   backend_call(3).fail(ErrorKind::kUpstreamFailed, Ran::kUnknown);
   EXPECT_EQ(backends_.calls.size(), 4U);
@@ -164,7 +164,7 @@
   EXPECT_EQ(answer->header("x-backend-load"), "");
 }
 
-TEST_F(GatewayTest, APlainAnswerWaitsForASlowReaderAndIsWhole) {
+TEST_F(GatewayTest, APlainAnswerIsPausedForASlowReaderAndComplete) {
   const auto answer = call(plain("GET", "/services/maps/x"));
   backend_call(0).callbacks->on_headers(200, {});
   answer->unread_bytes = GatewayKnobs().pause_above_buffered_bytes + 1;
@@ -180,7 +180,7 @@
   EXPECT_EQ(answer->body, "one two");
 }
 
-TEST_F(GatewayTest, AReaderThatStopsForGoodEndsAtTheDeadline) {
+TEST_F(GatewayTest, ARequestWhoseCallerStopsReadingEndsAtTheDeadline) {
   const auto answer = call(plain("GET", "/services/maps/x"));
   backend_call(0).callbacks->on_headers(200, {});
   answer->unread_bytes = GatewayKnobs().pause_above_buffered_bytes + 1;
--- a/tests/gateway/model_request_test.cc
+++ b/tests/gateway/model_request_test.cc
@@ -10,7 +10,7 @@
 
 class ModelRequestTest : public GatewayFixture {
  protected:
-  static bool ended_visibly_broken(const SeenAnswer& answer) {
+  static bool aborted_visibly(const SeenAnswer& answer) {
     return answer.aborted && !answer.finished &&
            answer.body.find("\"error\"") != std::string::npos &&
            answer.body.find("[DONE]") == std::string::npos;
@@ -40,7 +40,7 @@
   EXPECT_TRUE(answer->body.ends_with("data: [DONE]\n\n"));
 }
 
-TEST_F(ModelRequestTest, ResumesABrokenStreamFromTheLastToken) {
+TEST_F(ModelRequestTest, ResumesAnInterruptedStreamAfterTheLastToken) {
   const auto answer = call(completion(true));
   stream(0).send(0, {"a", "b"});
   stream(0).fail(ErrorKind::kUpstreamFailed, Ran::kUnknown);
@@ -54,7 +54,7 @@
   EXPECT_TRUE(answer->finished);
 }
 
-TEST_F(ModelRequestTest, SkipsTokensThatAreKnownAlready) {
+TEST_F(ModelRequestTest, SkipsTokensThatAreAlreadyPresent) {
   const auto answer = call(completion(false));
   stream(0).send(0, {"a", "b"});
   stream(0).fail(ErrorKind::kUpstreamFailed, Ran::kUnknown);
@@ -63,7 +63,7 @@
   EXPECT_EQ(answer->json()["choices"][0]["text"], "abc");
 }
 
-TEST_F(ModelRequestTest, WithoutTheIndexCheckATokenIsDoubled) {
+TEST_F(ModelRequestTest, WithoutTheIndexCheckATokenIsDuplicated) {
   GatewayKnobs knobs;
   knobs.safeguards.resume_checks_token_index = false;
   start_node("n1", knobs);
@@ -75,7 +75,7 @@
   EXPECT_EQ(answer->json()["choices"][0]["text"], "abbc");
 }
 
-TEST_F(ModelRequestTest, AGapOrAForeignTokenFailsTheAttemptNotTheRequest) {
+TEST_F(ModelRequestTest, AMissingOrDifferentTokenFailsTheAttemptNotTheRequest) {
   const auto answer = call(completion(false));
   stream(0).send(0, {"a"});
   stream(0).send(2, {"c"});  // index 1 is missing
@@ -87,15 +87,15 @@
   EXPECT_EQ(answer->json()["choices"][0]["text"], "abc");
 }
 
-TEST_F(ModelRequestTest, AShortStreamIsNeverACleanAnswer) {
+TEST_F(ModelRequestTest, AnIncompleteStreamIsNeverACompleteAnswer) {
   router_.retries_left = 0;
   const auto answer = call(completion(true));
   stream(0).send(0, {"a"});
   stream(0).complete(3);  // the engine counted three
-  EXPECT_TRUE(ended_visibly_broken(*answer)) << answer->body;
+  EXPECT_TRUE(aborted_visibly(*answer)) << answer->body;
 }
 
-TEST_F(ModelRequestTest, WithoutTheEndMarkCheckAShortAnswerPasses) {
+TEST_F(ModelRequestTest, WithoutTheEndMarkCheckAnIncompleteAnswerPasses) {
   GatewayKnobs knobs;
   knobs.safeguards.end_mark_required = false;
   start_node("n1", knobs);
@@ -105,7 +105,7 @@
   EXPECT_TRUE(answer->finished);
 }
 
-TEST_F(ModelRequestTest, EndsVisiblyWhenNoWorkerIsLeft) {
+TEST_F(ModelRequestTest, AbortsVisiblyWhenNoWorkerIsLeft) {
   const auto answer = call(completion(true));
   for (size_t attempt = 0; attempt < 2; ++attempt) {
     stream(attempt).send(static_cast<uint32_t>(attempt), {"t"});
@@ -113,11 +113,11 @@
   }
   stream(2).fail(ErrorKind::kUpstreamFailed, Ran::kUnknown);
   EXPECT_EQ(engine_.streams.size(), 3U);
-  EXPECT_TRUE(ended_visibly_broken(*answer)) << answer->body;
+  EXPECT_TRUE(aborted_visibly(*answer)) << answer->body;
   EXPECT_NE(answer->body.find("\"ran\":\"unknown\""), std::string::npos);
 }
 
-TEST_F(ModelRequestTest, RefusalSaysNotRunOnlyWhenNoAttemptCanHaveRun) {
+TEST_F(ModelRequestTest, ReportsNotRunOnlyWhenNoAttemptCanHaveRun) {
   const auto refused = call(completion(false));
   for (size_t attempt = 0; attempt < 3; ++attempt) {
     stream(attempt).fail(ErrorKind::kUnavailable, Ran::kNo);
@@ -133,7 +133,7 @@
   EXPECT_EQ(uncertain->json()["error"]["ran"], "unknown");
 }
 
-TEST_F(ModelRequestTest, WithoutTheCertaintyCheckNotRunIsSaidFalsely) {
+TEST_F(ModelRequestTest, WithoutTheCertaintyCheckNotRunIsReportedWrongly) {
   GatewayKnobs knobs;
   knobs.safeguards.not_run_only_when_certain = false;
   start_node("n1", knobs);
@@ -152,7 +152,7 @@
   EXPECT_EQ(answer->status, 503);
 }
 
-TEST_F(ModelRequestTest, AWorkerThatStopsInTheMiddleIsLeftForAnother) {
+TEST_F(ModelRequestTest, AWorkerThatStallsDuringItsAnswerIsReplacedByAnother) {
   const auto answer = call(completion(true));
   stream(0).send(0, {"a"});
   clock_.run_for(GatewayKnobs().idle_timeout - milliseconds(1));
@@ -165,7 +165,7 @@
   EXPECT_EQ(stream(1).request.resumed_tokens.size(), 2U);
 }
 
-TEST_F(ModelRequestTest, AWaitInTheEnginesQueueIsNoFailure) {
+TEST_F(ModelRequestTest, WaitingInTheEnginesQueueIsNotAFailure) {
   call(completion(false, {{"X-Chalkshed-Deadline-Ms", "60000"}}));
   EXPECT_EQ(stream(0).request.idle_timeout, seconds(30));
   call(completion(false, {{"X-Chalkshed-Deadline-Ms", "6000"}}));
@@ -184,14 +184,14 @@
   EXPECT_EQ(gateway_->requests_in_progress(), 0U);
 }
 
-TEST_F(ModelRequestTest, DeadlineInTheMiddleOfAStreamIsVisible) {
+TEST_F(ModelRequestTest, ADeadlineDuringAStreamIsVisible) {
   const auto answer = call(completion(true, {{"X-Chalkshed-Deadline-Ms", "200"}}));
   stream(0).send(0, {"a"});
   clock_.run_for(milliseconds(201));
-  EXPECT_TRUE(ended_visibly_broken(*answer));
+  EXPECT_TRUE(aborted_visibly(*answer));
 }
 
-TEST_F(ModelRequestTest, RetryAfterThePauseOfTheNodeStaysUndispatched) {
+TEST_F(ModelRequestTest, ARetryAfterAPauseOfTheNodeIsNotDispatched) {
   const auto answer = call(completion(false, {{"X-Chalkshed-Deadline-Ms", "200"}}));
   dispatcher_->freeze();
   clock_.run_for(seconds(1));
@@ -201,7 +201,7 @@
   EXPECT_EQ(answer->json()["error"]["ran"], "no");
 }
 
-TEST_F(ModelRequestTest, CallerGoneCancelsOnTheEngine) {
+TEST_F(ModelRequestTest, ADisconnectedCallersRequestIsCancelledOnTheEngine) {
   const auto answer = call(completion(true));
   stream(0).send(0, {"a"});
   answer->on_closed();
@@ -210,7 +210,7 @@
   EXPECT_EQ(gateway_->requests_in_progress(), 0U);
 }
 
-TEST_F(ModelRequestTest, WithoutCancellingAnAbandonedRequestKeepsItsWorkerBusy) {
+TEST_F(ModelRequestTest, WithoutCancellationTheRequestOfADisconnectedCallerKeepsItsWorkerBusy) {
   GatewayKnobs knobs;
   knobs.safeguards.cancel_when_caller_gone = false;
   start_node("n1", knobs);
@@ -219,7 +219,7 @@
   EXPECT_TRUE(stream(0).open());
 }
 
-TEST_F(ModelRequestTest, SlowReaderIsCutOffAndCancelled) {
+TEST_F(ModelRequestTest, ASlowReadersAnswerIsAbortedAndCancelled) {
   const auto answer = call(completion(true));
   stream(0).send(0, {"a"});
   answer->unread_bytes = GatewayKnobs().max_buffered_answer_bytes + 1;
@@ -228,7 +228,7 @@
   EXPECT_FALSE(stream(0).open());
 }
 
-TEST_F(ModelRequestTest, WorkerRefusalsAreTriedElsewhere) {
+TEST_F(ModelRequestTest, RequestsRefusedByAWorkerAreRetriedElsewhere) {
   const auto answer = call(completion(false));
   stream(0).fail(ErrorKind::kDraining, Ran::kNo);
   stream(1).fail(ErrorKind::kOverloaded, Ran::kNo);
@@ -237,7 +237,7 @@
   EXPECT_EQ(answer->status, 200);
 }
 
-TEST_F(ModelRequestTest, AnAnswerAtItsLimitIsWholeWithoutTheEndMark) {
+TEST_F(ModelRequestTest, AnAnswerAtItsTokenLimitIsCompleteWithoutTheEndMark) {
   const auto answer = call(completion(false));
   stream(0).send(0, {"a", "b", "c"});
   stream(0).fail(ErrorKind::kUpstreamFailed, Ran::kUnknown);
@@ -245,7 +245,7 @@
   EXPECT_EQ(answer->json()["choices"][0]["finish_reason"], "length");
 }
 
-TEST_F(ModelRequestTest, ARequestThatNoWorkerTakesIsNotTriedElsewhere) {
+TEST_F(ModelRequestTest, AnInvalidRequestIsNotRetriedElsewhere) {
   const auto answer = call(completion(false));
   stream(0).fail(ErrorKind::kTooLarge, Ran::kNo);
   EXPECT_EQ(engine_.streams.size(), 1U);
--- a/tests/gateway/once_request_test.cc
+++ b/tests/gateway/once_request_test.cc
@@ -16,7 +16,7 @@
     request.body = body;
     return request;
   }
-  // Sends and waits for the store.
+  // Sends a request and waits for the store.
   SeenAnswerPtr send(HttpRequest request) {
     auto answer = call(std::move(request));
     clock_.run_for(milliseconds(20));
@@ -54,7 +54,7 @@
   EXPECT_EQ(resent->header("content-type"), "text/plain");
 }
 
-TEST_F(OnceRequestTest, AResendWhileRunningHearsUnknownAndIsNotRun) {
+TEST_F(OnceRequestTest, AResendDuringTheRunGetsOutcomeUnknownAndIsNotRun) {
   send(booking());
   const auto resent = send(booking());
   EXPECT_EQ(backends_.calls.size(), 1U);
@@ -62,9 +62,9 @@
   EXPECT_EQ(ran_of(*resent), "unknown");
 }
 
-TEST_F(OnceRequestTest, ANodeThatDiedAfterTheClaimLeavesTheKeyClaimed) {
+TEST_F(OnceRequestTest, ANodeThatCrashedAfterTheClaimLeavesTheKeyClaimed) {
   send(booking());
-  start_node("n2");  // the first node is gone
+  start_node("n2");  // the first node has crashed
   const auto resent = send(booking());
   EXPECT_EQ(backends_.calls.size(), 1U);
   EXPECT_EQ(kind_of(*resent), "outcome_unknown");
@@ -88,7 +88,7 @@
   EXPECT_EQ(backends_.calls.size(), 2U);
 }
 
-TEST_F(OnceRequestTest, AnotherRequestUnderTheKeyIsAConflict) {
+TEST_F(OnceRequestTest, ADifferentRequestWithTheSameKeyIsAConflict) {
   send(booking());
   answer_call(0);
   const auto other = send(booking("seat 8"));
@@ -135,7 +135,7 @@
   EXPECT_EQ(backends_.calls.size(), 1U);
 }
 
-TEST_F(OnceRequestTest, TheAnswerReachesItsCallerThoughTheStoreIsDown) {
+TEST_F(OnceRequestTest, TheAnswerReachesItsCallerWhileTheStoreIsDown) {
   const auto answer = send(booking());
   table_.down = true;
   answer_call(0);
@@ -172,7 +172,7 @@
   EXPECT_TRUE(backends_.calls.empty());
   EXPECT_EQ(kind_of(*answer), "deadline_exceeded");
   EXPECT_EQ(ran_of(*answer), "no");
-  send(booking());  // the key was given back
+  send(booking());  // the claim was released
   EXPECT_EQ(backends_.calls.size(), 1U);
 }
 
@@ -213,7 +213,7 @@
   EXPECT_EQ(backends_.calls.size(), 2U);
 }
 
-TEST_F(OnceRequestTest, ALostClaimThatCannotBeReadBackIsGivenUpAndFreed) {
+TEST_F(OnceRequestTest, ALostClaimThatCannotBeReadBackIsReleased) {
   table_.answers_to_lose = 1;
   const auto answer = call(booking());
   clock_.run_for(FakeTable::kDelay + Duration(1));
@@ -228,7 +228,7 @@
   EXPECT_EQ(backends_.calls.size(), 1U);
 }
 
-TEST_F(OnceRequestTest, WithoutTheDigestAForeignAnswerIsGiven) {
+TEST_F(OnceRequestTest, WithoutTheDigestTheAnswerToADifferentRequestIsReturned) {
   GatewayKnobs knobs;
   knobs.claims.safeguards.digest_checked = false;
   start_node("n1", knobs);
@@ -237,7 +237,7 @@
   EXPECT_EQ(send(booking("seat 8"))->body, "booked");
 }
 
-TEST_F(OnceRequestTest, AnAnswerTooLargeToKeepIsNotRunAgain) {
+TEST_F(OnceRequestTest, ARequestWhoseAnswerIsTooLargeToStoreIsNotRunAgain) {
   send(booking());
   backend_call(0).callbacks->on_headers(200, {});
   backend_call(0).callbacks->on_body(std::string(ClaimKnobs().max_stored_answer_bytes + 1, 'x'));
@@ -247,7 +247,7 @@
   EXPECT_EQ(backends_.calls.size(), 1U);
 }
 
-TEST_F(OnceRequestTest, ACallerThatLeavesBeforeTheClaimFreesTheKey) {
+TEST_F(OnceRequestTest, ACallerThatDisconnectsBeforeTheClaimFreesTheKey) {
   const auto answer = call(booking());
   answer->on_closed();
   clock_.run_for(milliseconds(20));
@@ -256,7 +256,7 @@
   EXPECT_EQ(backends_.calls.size(), 1U);
 }
 
-TEST_F(OnceRequestTest, TheRunGoesOnWhenTheCallerLeavesAndTheResendIsAnswered) {
+TEST_F(OnceRequestTest, TheRunContinuesWhenTheCallerDisconnectsAndTheResendIsAnswered) {
   const auto answer = send(booking());
   answer->on_closed();
   ASSERT_TRUE(backend_call(0).open());
@@ -265,7 +265,7 @@
   EXPECT_EQ(backends_.calls.size(), 1U);
 }
 
-TEST_F(OnceRequestTest, KeysOfTenantsAreApart) {
+TEST_F(OnceRequestTest, TenantsHaveSeparateKeys) {
   auto configuration = std::make_shared<Configuration>(*configuration_.configuration);
   configuration->tenants["a"] = {.name = "a", .api_key = "ka"};
   configuration->tenants["b"] = {.name = "b", .api_key = "kb"};
@@ -291,7 +291,7 @@
   EXPECT_EQ(engine_.streams.size(), 1U);
 }
 
-TEST_F(OnceRequestTest, AStreamNotToBeRepeatedIsNotResumed) {
+TEST_F(OnceRequestTest, ANonRepeatableStreamIsNotResumed) {
   const HttpHeaders headers = {{"Idempotency-Key", "k"}, {"X-Chalkshed-Not-Repeatable", "true"}};
   const auto answer = send(completion(true, headers));
   stream(0).send(0, {"a"});
