--- a/src/forwarding/job_forwarder.cc
+++ b/src/forwarding/job_forwarder.cc
@@ -13,7 +13,7 @@
 
 /** Only the listed statuses guarantee that the peer did not accept the job. 401 is one of them,
  * because the peer may have another configuration, without the caller's key. */
-forward_outcome judge(const Expected<HttpResponse> &answer) {
+forward_outcome classify_answer(const Expected<HttpResponse> &answer) {
     if (!answer) {
         return answer.error().ran == Ran::kNo ? forward_outcome::kNotAccepted
                                               : forward_outcome::kUnknown;
@@ -65,7 +65,7 @@
     client_.fetch(*peer, codec_.encode_submission(job), options,
                   lifetime_.guard([this, id = caller_job_id(job.id), to = to_string(*peer),
                                    done = std::move(done)](const Expected<HttpResponse> &answer) {
-                      const forward_outcome outcome = judge(answer);
+                      const forward_outcome outcome = classify_answer(answer);
                       logger_.write(
                           LogLevel::kInfo, "job_forwarded",
                           {{"job", id}, {"peer", to}, {"outcome", forward_outcome_name(outcome)}});
--- a/src/serving/worker_knobs.h
+++ b/src/serving/worker_knobs.h
@@ -45,7 +45,7 @@
   uint32_t min_shared_tokens = 1000;
   // Distant nodes are told at once of a prompt with at least this many tokens to prefill.
   double long_prompt_tokens = 3000;
-  // Distant nodes are told at once after each this many requests sent.
+  // Distant nodes are also told at once after every this many requests sent.
   uint64_t notable_slots = 4;
   // Estimated probability that a shared prefix is still cached at its first-choice worker, and at
   // the second and third choices, which get requests with that prefix when the ones before are
