--- a/include/chalkshed/crash_evidence.h
+++ b/include/chalkshed/crash_evidence.h
@@ -2,16 +2,17 @@
 #define CHALKSHED_CRASH_EVIDENCE_H
 
 /** \file
- * Which requests end the workers that run them, judged by their content over all attempts, nodes
- * and workers.
+ * Detects requests that crash their workers, identified by their content across all attempts,
+ * nodes and workers.
  *
- * A worker that ends breaks off all its runs, and all but one of them are innocent. Evidence
- * against a content is therefore the number of different workers under which a run of it broke off
- * and which then turned out to have ended; a whole answer to it proves it innocent. It has to be
- * known beyond one attempt of a caller and one node, since each further attempt would begin with
- * nothing.
+ * A crashing worker interrupts all of its runs, and at most one of them caused the crash. The
+ * evidence against a content is therefore the number of distinct workers that lost a run of it and
+ * later turned out to have crashed. A complete answer clears the content. The evidence is shared
+ * between the attempts of a caller and between nodes, because otherwise each attempt would start
+ * with none.
  *
- * No I/O, and every time is given to it: crash_exchange carries the evidence between the nodes. */
+ * Performs no I/O and takes the time as a parameter; crash_exchange carries the evidence between
+ * nodes. */
 
 #include <cstddef>
 #include <cstdint>
@@ -24,116 +25,123 @@
 namespace chalkshed {
 
 struct crash_knobs {
-    /** Workers that a content may end before it is held. With two, each retried request that met
-     * two crashing workers in a row would be. */
-    size_t ends_to_quarantine = 3;
-    /** Ends within this time may have one cause, a rack that loses power say: they alone hold no
-     * content, and nobody begins another run of it meanwhile, which might fall into the same. */
-    Duration settle = std::chrono::milliseconds(40);
-    /** What a peer suspects counts for so long, unless it confirms it: by then it has seen whether
-     * other runs broke off with it, and sent word twice. */
-    Duration suspicion = std::chrono::milliseconds(250);
-    /** Evidence is forgotten after this long, and with it the quarantine. */
-    Duration memory = std::chrono::minutes(10);
-    /** A content that is held is tried once more this long after its newest evidence; after each
-     * failed trial the pause grows by the factor. */
-    Duration first_trial = std::chrono::seconds(15);
-    int64_t trial_growth = 8;
-    /** By then the fate of a worker is known where the store tells it: an entry goes after three
-     * missed heartbeats, 3.6 s at the slowest heartbeat in use, and a second later all nodes know.
+    /** Number of crashed workers at which a content is quarantined. A threshold of two would
+     * quarantine each retried request that met two crashing workers in a row. */
+    size_t quarantine_threshold = 3;
+    /** Crashes within this time may share one cause, such as a power loss in a rack. They don't
+     * suffice to quarantine a content, and no node starts another run of it meanwhile, since that
+     * run could be lost to the same cause. */
+    Duration settle_time = std::chrono::milliseconds(40);
+    /** A peer's suspicion expires after this time unless the peer confirms it. By then the peer has
+     * seen whether other runs were lost at the same time, and has sent its report twice. */
+    Duration suspicion_timeout = std::chrono::milliseconds(250);
+    /** Evidence expires after this time, and with it the quarantine. */
+    Duration evidence_lifetime = std::chrono::minutes(10);
+    /** A quarantined content is probed this long after its newest evidence. Each failed probe
+     * multiplies the delay by probe_backoff_factor. */
+    Duration first_probe_delay = std::chrono::seconds(15);
+    int64_t probe_backoff_factor = 8;
+    /** The store tells the fate of a worker within this time: its entry is removed after three
+     * missed heartbeats, 3.6 s at the slowest heartbeat in use, and all nodes know a second later.
      */
-    Duration settled_after = std::chrono::seconds(10);
-    /** Contents that are remembered; beyond, those with the least evidence go first. */
-    size_t most_contents = 4096;
-    /** Workers remembered for one content. */
-    size_t most_breaks = 16;
+    Duration fate_known_after = std::chrono::seconds(10);
+    /** Maximum number of tracked contents. Beyond it, those with the least evidence are evicted
+     * first. */
+    size_t max_contents = 4096;
+    /** Maximum number of workers tracked per content. */
+    size_t max_workers_per_content = 16;
 };
 
-/** What became of a worker at which a run broke off. */
+/** State of a worker that lost a run. */
 enum class worker_fate {
     kUnknown,
-    /** It is the same start of the worker that serves on: a cut link, a reset, a broken answer. */
+    /** The same incarnation is still serving: the run was lost to a cut link, a reset or a
+     * malformed answer. */
     kAlive,
     kEnded,
-    /** It had said that it would leave. */
+    /** It had announced that it would leave. */
     kPlanned,
 };
 
-/** A run that broke off: the connection to its worker ended, or the worker fell silent. */
+/** A run that was lost because the connection to its worker failed or the worker stopped
+ * responding. */
 struct broken_run {
     uint64_t digest = 0; // of the request
     uint32_t worker = 0; // hash of the worker's incarnation
     MonotonicTime at{};
-    /** Other causes are likelier: it counts only once the worker is known to have ended. */
+    /** Another cause is more likely: the run counts only once the worker is known to have crashed.
+     */
     bool weak = false;
-    /** When the run was sent; only the node that ran it knows. */
+    /** When the run was sent; known only to the node that sent it. */
     MonotonicTime sent{};
-    /** Sent before it is known whether other runs broke off with it: makes a content suspect, but
-     * holds none. */
+    /** Reported before it is known whether other runs were lost at the same time. Makes a content
+     * suspect, but doesn't quarantine it. */
     bool suspected = false;
 };
 
 /** Whether a content may be sent to a worker. */
 enum class run_permit {
     kFree,
-    /** Suspect: where it harms least, and one run at a time. */
-    kAlone,
-    /** Suspect, and another run of it is under way here, or a worker ended under it just now. */
+    /** Suspect: run it on the worker where a crash affects the fewest other requests, one run at a
+     * time. */
+    kExclusive,
+    /** Suspect, and this node has another run of it in progress or a worker has just crashed under
+     * it. */
     kWait,
-    /** It ends its workers. */
+    /** It crashes its workers. */
     kQuarantined,
 };
 
-/** Who wants to run a content. */
+/** Circumstances of a request to run a content. */
 struct run_claim {
-    /** This node is the one that tries again what is held. */
-    bool tries = false;
-    /** The request is sent again because it lost its worker. At the first such loss nearly all are
-     * innocent, and go on without a pause. */
+    /** This node is the one that probes quarantined contents. */
+    bool may_probe = false;
+    /** The request is retried because it lost its worker. After the first loss, nearly all such
+     * requests are innocent, so they are retried without delay. */
     bool lost_worker = false;
 };
 
 class crash_evidence {
 public:
-    /** What has become of the worker of that hash, at which a run broke off at that time. */
-    using judge = std::function<worker_fate(const broken_run &run)>;
+    /** \return The state of the worker at which this run was lost. */
+    using fate_lookup = std::function<worker_fate(const broken_run &run)>;
 
     explicit crash_evidence(const crash_knobs &knobs = {});
 
-    /** A run of this node begins, or is over, whatever its end. */
+    /** A run starts or finishes on this node, whatever its result. */
     void note_begun(uint64_t digest, MonotonicTime now);
     void note_over(uint64_t digest);
-    /** A run that broke off, here or as a peer tells. \return Whether it was not known. */
+    /** Records a run that was lost here or that a peer reported. \return Whether it was new. */
     bool note_broken(const broken_run &run);
-    /** Whether the run was alone in breaking off then has turned out otherwise: run.weak says how.
-     */
-    void revise(const broken_run &run);
-    /** Evidence up to that time proves nothing any more: a run that was sent then brought a whole
-     * answer, or an operator released the content. \return Whether there was any. */
+    /** Updates run.weak after it has become known whether other runs were lost at the same time. */
+    void update_weak(const broken_run &run);
+    /** Discards the evidence up to that time, because a run sent then brought a complete answer or
+     * an operator released the content. \return Whether there was any. */
     bool clear(uint64_t digest, MonotonicTime up_to);
 
     run_permit permit(uint64_t digest, const run_claim &claim, MonotonicTime now) const;
-    /** Whether a run of it needs to be the only one of all nodes: several workers have ended. */
+    /** Whether a run of it needs a turn, so that no other node runs it at the same time: several
+     * workers have crashed. */
     bool needs_turn(uint64_t digest, MonotonicTime now) const;
-    /** Until then nobody begins a run of the content, but for one that was lost first. */
+    /** Until then no node starts a run of the content, except a retry after the first lost worker.
+     */
     MonotonicTime settled_at(uint64_t digest) const;
     bool under_way(uint64_t digest) const {
         return under_way_.contains(digest);
     }
-    /** When a content that is held is tried again. */
-    MonotonicTime next_trial(uint64_t digest) const;
-    /** How many workers the content has ended, as far as known. */
-    size_t ends(uint64_t digest) const;
+    /** When a quarantined content is probed next. */
+    MonotonicTime next_probe(uint64_t digest) const;
+    /** Number of workers that crashed under the content, as far as known. */
+    size_t crash_count(uint64_t digest) const;
     bool quarantined(uint64_t digest) const;
 
-    /** Asks what has become of the workers, and forgets what is old.
-     * \return The runs whose worker has turned out to have ended. */
-    std::vector<broken_run> review(const judge &fate_of, MonotonicTime now);
-    /** Workers that count against the content, with when its run broke off. */
+    /** Looks up the state of the workers and discards expired evidence.
+     * \return The runs whose worker has turned out to have crashed. */
+    std::vector<broken_run> review(const fate_lookup &fate_of, MonotonicTime now);
+    /** The runs that count against the content, one per worker. */
     std::vector<broken_run> counted(uint64_t digest) const;
-    /** All contents under which so many workers have ended. */
-    std::vector<uint64_t> all_with_ends(size_t least) const;
-    /** All contents that are held. */
+    /** All contents with at least that many crashed workers. */
+    std::vector<uint64_t> all_with_crashes(size_t least) const;
     std::vector<uint64_t> all_quarantined() const;
     size_t size() const {
         return contents_.size();
@@ -145,29 +153,29 @@
         worker_fate fate = worker_fate::kUnknown;
     };
     struct content {
-        std::vector<broken_worker> workers; // each once
+        std::vector<broken_worker> workers; // one entry per worker
         MonotonicTime cleared{};
-        MonotonicTime tried{};
+        MonotonicTime last_probe{};
     };
-    /** How long an entry is kept, from the break of its run. */
+    /** How long an entry is kept, counted from the loss of its run. */
     Duration lifetime(const broken_worker &broken) const;
     static bool counts(const broken_worker &broken) {
         return broken.fate == worker_fate::kEnded ||
                (broken.fate == worker_fate::kUnknown && !broken.run.weak && !broken.run.suspected);
     }
-    /** Counts, or may soon. */
+    /** Counts as evidence, or may do so once a peer's suspicion is confirmed. */
     bool suspect(const broken_worker &broken, MonotonicTime now) const;
-    /** Whether these runs prove that the content ends its workers. */
-    bool prove(const std::vector<MonotonicTime> &ends) const;
-    bool held(const content &known) const;
+    /** Whether crashes at these times suffice to quarantine a content. */
+    bool proves(const std::vector<MonotonicTime> &crash_times) const;
+    bool is_quarantined(const content &known) const;
     std::vector<MonotonicTime> suspect_times(const content &known, MonotonicTime now) const;
     const content *find(uint64_t digest) const;
-    static size_t ends_of(const content &known);
-    static MonotonicTime newest(const content &known);
-    /** Ends that came so long after the proof that only trials can have caused them. */
-    size_t failed_trials(const content &known) const;
-    Duration trial_pause(size_t failed) const;
-    void make_room();
+    static size_t crashes_of(const content &known);
+    static MonotonicTime newest_crash(const content &known);
+    /** Crashes so long after the content was quarantined that only probes can have caused them. */
+    size_t failed_probes(const content &known) const;
+    Duration probe_delay(size_t failed) const;
+    void evict_one();
 
     const crash_knobs knobs_;
     std::unordered_map<uint64_t, content> contents_;
--- a/include/chalkshed/crash_exchange.h
+++ b/include/chalkshed/crash_exchange.h
@@ -2,10 +2,10 @@
 #define CHALKSHED_CRASH_EXCHANGE_H
 
 /** \file
- * Tells the other nodes at once, by datagram, which runs of this node broke off and which contents
- * were answered since. One node alone sees few of the workers that a content ends: its caller comes
- * back at any node. Each message is repeated a few times against loss; the durable copy is in the
- * store (quarantine_rows.h). */
+ * Reports to the other nodes, by datagram, which runs of this node were lost and which contents
+ * were answered since. A single node sees few of the workers that a content crashes, because its
+ * caller retries at any node. Each report is repeated a few times against packet loss; the durable
+ * copy is in the store (quarantine_rows.h). */
 
 #include <deque>
 #include <string_view>
@@ -20,18 +20,18 @@
 namespace chalkshed {
 
 struct crash_exchange_knobs {
-    /** All runs of a worker break off together: they go in one datagram. */
-    Duration gather = std::chrono::milliseconds(20);
-    /** Of this node, to all peers together; those of one second may go at once, so that the first
-     * news of a content does not wait for those of another. */
+    /** All runs of a worker are lost together: they are batched into one datagram. */
+    Duration batch_delay = std::chrono::milliseconds(20);
+    /** Rate limit of this node, over all peers together. One second's worth may be sent as a burst,
+     * so that the first report of one content doesn't wait for those of another. */
     double datagrams_per_second = 1000;
-    /** How often each entry is sent, and the interval before its first repetition, which doubles.
-     */
-    int most_tells = 4;
-    Duration first_repeat = std::chrono::milliseconds(400);
-    /** News that wait; beyond, the oldest go. A node with so many broken runs a second is itself
-     * cut off, or its whole fleet is gone. */
-    size_t most_waiting = 1024;
+    /** How often each entry is sent, and the delay before its first repetition; the delay doubles
+     * with each one. */
+    int max_sends = 4;
+    Duration first_repeat_delay = std::chrono::milliseconds(400);
+    /** Maximum number of pending entries; beyond it, the oldest are dropped. A node that loses so
+     * many runs a second is itself cut off, or has lost all its workers. */
+    size_t max_pending = 1024;
 };
 
 class crash_exchange {
@@ -41,30 +41,30 @@
                    request_quarantine &quarantine, const crash_exchange_knobs &knobs = {});
 
     void set_peers(const std::vector<relay_candidate> &peers);
-    /** \return Whether the datagram was about broken runs. */
+    /** \return Whether the datagram was a crash message. */
     bool receive(std::string_view datagram);
 
 private:
-    struct news {
-        crash_message message; // of one entry
-        int told = 0;
-        int tells = 0; // in all
+    struct pending_entry {
+        crash_message message; // with a single entry
+        int times_sent = 0;
+        int sends = 0; // how often it is sent in total
         MonotonicTime due{};
     };
-    void tell(crash_message message, Duration gather, int tells);
+    void enqueue(crash_message message, Duration batch_delay, int sends);
     void flush();
     void schedule();
-    /** When this node may send to all peers again. */
-    MonotonicTime next_flush() const;
+    /** When this node may send to all peers again under the rate limit. */
+    MonotonicTime next_flush_time() const;
 
     TimeSource &time_source_;
     DatagramTransport &datagrams_;
     request_quarantine &quarantine_;
     const crash_exchange_knobs knobs_;
     std::vector<Address> peers_;
-    std::deque<news> waiting_;
-    /** By then all that was sent would have been sent at the allowed rate. */
-    MonotonicTime paid_{};
+    std::deque<pending_entry> pending_;
+    /** When everything sent so far would have been sent at datagrams_per_second. */
+    MonotonicTime budget_time_{};
     TimerPtr timer_;
 };
 
--- a/include/chalkshed/crash_message.h
+++ b/include/chalkshed/crash_message.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_CRASH_MESSAGE_H
 
 /** \file
- * What nodes tell each other of runs that broke off with their workers. Times go as ages, since the
- * clocks of two nodes have nothing in common. */
+ * Messages between nodes about runs that were lost with their workers. Times are sent as ages,
+ * since monotonic clocks of different nodes aren't comparable. */
 
 #include <optional>
 #include <string>
@@ -14,7 +14,7 @@
 
 namespace chalkshed {
 
-/** A run that brought a whole answer. */
+/** A run that brought a complete answer. */
 struct answered_run {
     uint64_t digest = 0;
     MonotonicTime sent{};
@@ -23,15 +23,15 @@
 struct crash_message {
     std::vector<broken_run> broken;
     std::vector<answered_run> answered;
-    /** Sent a moment after they broke off, before a common cause could be seen. */
+    /** Lost just now: sent before a common cause could be detected. */
     std::vector<broken_run> suspected;
 };
 
-/** Entries that fit into one datagram with room to spare: 24 bytes each. */
-inline constexpr size_t kMostCrashEntries = 40;
+/** Entries that fit into one datagram with margin: 24 bytes each. */
+inline constexpr size_t kMaxCrashEntries = 40;
 
 std::string encode_crash_message(const crash_message &message, MonotonicTime now);
-/** \return Nothing when the bytes are no such message. */
+/** \return std::nullopt for a malformed message. */
 std::optional<crash_message> decode_crash_message(std::string_view datagram, MonotonicTime now);
 
 } // namespace chalkshed
--- a/include/chalkshed/quarantine_api.h
+++ b/include/chalkshed/quarantine_api.h
@@ -2,13 +2,14 @@
 #define CHALKSHED_QUARANTINE_API_H
 
 /** \file
- * Lets operators see which contents are suspect or held, and release one.
+ * Lets operators list the suspect and quarantined contents, and release one.
  *
  *     GET  /admin/quarantine                    {"contents": [{"content", "workers_ended", "held",
  *                                               "next_trial_ms"}]}
- *     POST /admin/quarantine/CONTENT/release    the same, without it
+ *     POST /admin/quarantine/CONTENT/release    the same, without the released content
  *
- * Only a caller on this machine may release: there are no operators' keys here. */
+ * Only callers on this machine may release a content, because there are no credentials for
+ * operators here. */
 
 #include <string>
 
@@ -19,7 +20,7 @@
 
 class quarantine_api : public HttpHandler {
 public:
-    /** \param own_ip Of this machine. All references outlive this. */
+    /** \param own_ip Address of this machine. All references outlive this. */
     quarantine_api(TimeSource &time_source, request_quarantine &quarantine, std::string own_ip)
         : time_source_(time_source), quarantine_(quarantine), own_ip_(std::move(own_ip)) {}
     void handle(HttpRequest request, ResponseWriterPtr writer) override;
--- a/include/chalkshed/request_digest.h
+++ b/include/chalkshed/request_digest.h
@@ -2,9 +2,9 @@
 #define CHALKSHED_REQUEST_DIGEST_H
 
 /** \file
- * Names a request by what it asks for, whoever sends it again and wherever it arrives. The id of a
- * request names one attempt of its caller; attempts with the same content share nothing else.
- */
+ * Identifies a request by its content, independent of who retries it and at which node it arrives.
+ * A request id names a single attempt of its caller; attempts with the same content have nothing
+ * else in common. */
 
 #include <cstdint>
 #include <string>
@@ -13,13 +13,12 @@
 
 namespace chalkshed {
 
-/** \return A 64-bit hash (XXH3) of the caller's tenant, the host, the method, the path with its
- * query, and the body. Headers are left out: ids, deadlines and positions in a stream differ
- * between attempts. Not safe against a caller who forges a collision with a request of its own
- * tenant. */
+/** \return A 64-bit hash (XXH3) of the caller's tenant, the host, the method, the path, the query
+ * and the body. Headers are excluded: ids, deadlines and stream positions differ between attempts.
+ * Not safe against a caller who forges a collision with a request of its own tenant. */
 uint64_t request_digest(const ServingRequest &request);
 
-/** \return The digest as logs and rows of the store name it: 16 hexadecimal digits. */
+/** \return The digest as used in logs and store rows: 16 hexadecimal digits. */
 std::string digest_text(uint64_t digest);
 
 } // namespace chalkshed
--- a/include/chalkshed/run_turns.h
+++ b/include/chalkshed/run_turns.h
@@ -2,9 +2,9 @@
 #define CHALKSHED_RUN_TURNS_H
 
 /** \file
- * Asks for turns to run suspect contents, and gives them where this node is the one that does: the
- * first of all live nodes in rendezvous order of the content. Nodes that see other peers alive come
- * to other nodes; then two runs go on at once, as they would without turns. */
+ * Acquires turns to run suspect contents. A turn is granted by the first live node in rendezvous
+ * order of the content, which may be this node. Nodes with different views of the live peers ask
+ * different nodes; then two runs may proceed at once, as they would without turns. */
 
 #include <functional>
 #include <map>
@@ -23,12 +23,12 @@
 
 struct run_turns_knobs {
     turn_knobs keeper;
-    /** Between two questions for a content. */
-    Duration ask_interval = std::chrono::milliseconds(10);
-    /** Without an answer for so long this node decides by itself: whoever gives the turns has gone,
-     * is of an older version, or is far away. */
-    Duration patience = std::chrono::milliseconds(45);
-    /** A turn that was granted and not used for so long is asked for again. */
+    /** Interval between requests for the turn of one content. */
+    Duration request_interval = std::chrono::milliseconds(10);
+    /** Without an answer for this long, this node grants itself the turn: the granting node is
+     * gone, runs an older version or is far away. */
+    Duration answer_timeout = std::chrono::milliseconds(45);
+    /** A granted turn that is unused for this long is requested again. */
     Duration grant_lifetime = std::chrono::milliseconds(100);
 };
 
@@ -39,22 +39,23 @@
               const relay_candidate &own, const run_turns_knobs &knobs = {});
 
     void set_peers(const std::vector<relay_candidate> &peers);
-    /** \return Whether the datagram was about turns. */
+    /** \return Whether the datagram was a turn message. */
     bool receive(std::string_view datagram);
 
-    /** Asks for a turn unless one is had.
-     * \param not_before Nobody begins a run of the content until then.
-     * \return Whether a run may begin here now. */
+    /** Requests a turn unless this node holds it.
+     * \param not_before No node starts a run of the content until then.
+     * \return Whether this node may start a run now. */
     bool take(uint64_t digest, MonotonicTime not_before);
-    /** Tells that runs of this node began before there was anything against the content. */
+    /** Reports that this node has runs that started before there was any evidence against the
+     * content. */
     void note_running(uint64_t digest);
-    /** The last run of this node is over. \param not_before As above. */
+    /** The last run of this node has finished. \param not_before See take. */
     void note_over(uint64_t digest, MonotonicTime not_before);
-    /** \param not_before Until when, by what this node knows, nobody may run a content. */
+    /** \param not_before Until when no node may run a content, as far as this node knows. */
     void set_not_before(std::function<MonotonicTime(uint64_t digest)> not_before) {
         not_before_ = std::move(not_before);
     }
-    /** Called when a turn has been granted by another node. */
+    /** Called when another node has granted a turn. */
     void set_on_granted(std::function<void()> callback) {
         on_granted_ = std::move(callback);
     }
@@ -65,23 +66,23 @@
         std::string session;
         Address address;
     };
-    /** What this node has asked for one content. */
-    struct question {
+    /** State of this node's request for the turn of one content. */
+    struct turn_request {
         MonotonicTime first{};
         MonotonicTime asked{};
         MonotonicTime answered{};
         MonotonicTime granted{};
     };
-    /** \return The node that gives the turns for the content; null: this one. */
+    /** \return The node that grants turns for the content; null: this node. */
     const peer *keeper_of(uint64_t digest) const;
-    question &question_about(uint64_t digest, MonotonicTime now);
-    /** Whether this node has to decide by itself. */
-    bool unanswered(uint64_t digest, question &asked, MonotonicTime now);
-    void tell(const peer &to, const turn_entry &entry);
-    /** By what this node or the peer knows. */
+    turn_request &request_for(uint64_t digest, MonotonicTime now);
+    /** Whether the request has timed out, so that this node grants itself the turn. */
+    bool timed_out(uint64_t digest, turn_request &asked, MonotonicTime now);
+    void send_entry(const peer &to, const turn_entry &entry);
+    /** The later of what this node and the peer know. */
     MonotonicTime not_before(const turn_entry &entry, MonotonicTime now) const;
-    void take_entry(const peer &from, const turn_entry &entry);
-    void take_answer(const turn_entry &entry, MonotonicTime now);
+    void handle_entry(const peer &from, const turn_entry &entry);
+    void handle_answer(const turn_entry &entry, MonotonicTime now);
 
     TimeSource &time_source_;
     DatagramTransport &datagrams_;
@@ -90,9 +91,9 @@
     const std::string session_;
     const run_turns_knobs knobs_;
     turn_keeper keeper_;
-    std::vector<peer> peers_;                // those that live
-    std::map<std::string, size_t> sessions_; // where in peers_
-    std::map<uint64_t, question> questions_;
+    std::vector<peer> peers_;                // live peers
+    std::map<std::string, size_t> sessions_; // session to index in peers_
+    std::map<uint64_t, turn_request> requests_;
     std::function<void()> on_granted_ = [] {};
     std::function<MonotonicTime(uint64_t)> not_before_ = [](uint64_t) { return MonotonicTime{}; };
 };
--- a/include/chalkshed/turn_keeper.h
+++ b/include/chalkshed/turn_keeper.h
@@ -2,11 +2,11 @@
 #define CHALKSHED_TURN_KEEPER_H
 
 /** \file
- * Which node may run a suspect content: one at a time. Nodes that each ran their own copy would
- * each lose a worker before the first of them could tell the others.
+ * Decides which node may run a suspect content, one at a time. Nodes that each ran their own copy
+ * would each lose a worker before the first of them could report it.
  *
- * A turn is a lease: a node that dies with it, or whose word of its end is lost, blocks the content
- * for a moment only. No I/O, and every time is given to it. */
+ * A turn is a lease: if its holder dies or the report of its end is lost, the content is blocked
+ * for a short time only. Performs no I/O and takes the time as a parameter. */
 
 #include <cstdint>
 #include <string>
@@ -18,25 +18,27 @@
 namespace chalkshed {
 
 struct turn_knobs {
-    /** A run that has lasted so long has most likely survived what would have ended its worker. */
-    Duration longest_turn = std::chrono::milliseconds(250);
-    /** A content for which nobody has asked for so long is forgotten. */
-    Duration forgotten_after = std::chrono::seconds(1);
-    /** Contents that are remembered; beyond, none is given a turn until some are forgotten. */
-    size_t most_contents = 4096;
+    /** Turns expire after this time: a run that has lasted this long has most likely survived the
+     * point at which it would have crashed its worker. */
+    Duration turn_timeout = std::chrono::milliseconds(250);
+    /** A content for which no node has asked for this long is dropped. */
+    Duration idle_timeout = std::chrono::seconds(1);
+    /** Maximum number of tracked contents; beyond it, no turn is granted for further ones until
+     * some are dropped. */
+    size_t max_contents = 4096;
 };
 
 class turn_keeper {
 public:
     explicit turn_keeper(const turn_knobs &knobs = {}) : knobs_(knobs) {}
 
-    /** \param not_before Until then nobody begins a run of the content, whoever asks.
-     * \return Whether the node may begin one now. A node that asks again while it has the turn is
-     * given it again: the answer may have been lost. */
+    /** \param not_before No node may start a run of the content until then, whichever asks.
+     * \return Whether the node may start one now. A node that asks again while it holds the turn
+     * is granted it again, since the answer may have been lost. */
     bool ask(uint64_t digest, const std::string &node, MonotonicTime not_before, MonotonicTime now);
-    /** The node has runs of the content for which nobody had asked. */
+    /** The node has runs of the content that started without a turn. */
     void note_running(uint64_t digest, const std::string &node, MonotonicTime now);
-    /** The node's runs are over. \param not_before As above. */
+    /** The node's runs have finished. \param not_before See ask. */
     void note_over(uint64_t digest, const std::string &node, MonotonicTime not_before);
     size_t size() const {
         return contents_.size();
@@ -48,13 +50,13 @@
         MonotonicTime since{};
     };
     struct content {
-        std::vector<turn> turns; // more than one only by note_running
+        std::vector<turn> turns; // more than one only after note_running
         MonotonicTime not_before{};
-        MonotonicTime noted{};
+        MonotonicTime last_used{};
     };
-    /** \return The content without turns that have lapsed, or null where there is no room. */
+    /** \return The content after removal of expired turns, or null if there is no room for it. */
     content *current(uint64_t digest, MonotonicTime now);
-    void forget_old(MonotonicTime now);
+    void drop_idle(MonotonicTime now);
 
     const turn_knobs knobs_;
     std::unordered_map<uint64_t, content> contents_;
--- a/include/chalkshed/turn_message.h
+++ b/include/chalkshed/turn_message.h
@@ -2,7 +2,7 @@
 #define CHALKSHED_TURN_MESSAGE_H
 
 /** \file
- * What a node that wants to run a suspect content says to the node that gives the turns, and back.
+ * Messages between a node that wants to run a suspect content and the node that grants the turns.
  */
 
 #include <cstdint>
@@ -18,30 +18,30 @@
 enum class turn_word {
     kAsk,
     kGranted,
-    /** Not yet: ask again. */
+    /** Not yet: the sender has to ask again. */
     kBusy,
-    /** The sender's run has ended. */
+    /** The sender's run has finished. */
     kOver,
-    /** The sender has runs that began before anything was known against the content. */
+    /** The sender has runs that started before there was any evidence against the content. */
     kRunning,
 };
 
 struct turn_entry {
-    turn_word word = turn_word::kAsk;
+    turn_word type = turn_word::kAsk;
     uint64_t digest = 0;
-    /** Of kAsk and kOver: by what the sender knows nobody may run the content for so long. */
+    /** For kAsk and kOver: how long no node may run the content, as far as the sender knows. */
     Duration wait{0};
 };
 
 struct turn_message {
-    /** Of the sender. */
+    /** Session id of the sender. */
     std::string session;
     std::vector<turn_entry> entries;
 };
 
 std::string encode_turn_message(const turn_message &message);
-/** \return Nothing when the bytes are no such message. Entries with words of a newer build are left
- * out. */
+/** \return std::nullopt for a malformed message. Skips entries of types that only newer versions
+ * know. */
 std::optional<turn_message> decode_turn_message(std::string_view datagram);
 
 } // namespace chalkshed
--- a/src/quarantine/crash_evidence.cc
+++ b/src/quarantine/crash_evidence.cc
@@ -12,12 +12,12 @@
     return found == contents_.end() ? nullptr : &found->second;
 }
 
-size_t crash_evidence::ends_of(const content &known) {
+size_t crash_evidence::crashes_of(const content &known) {
     return static_cast<size_t>(
         std::count_if(known.workers.begin(), known.workers.end(), &crash_evidence::counts));
 }
 
-MonotonicTime crash_evidence::newest(const content &known) {
+MonotonicTime crash_evidence::newest_crash(const content &known) {
     MonotonicTime time{};
     for (const broken_worker &broken : known.workers) {
         time = std::max(time, counts(broken) ? broken.run.at : MonotonicTime{});
@@ -28,8 +28,8 @@
 void crash_evidence::note_begun(uint64_t digest, MonotonicTime now) {
     ++under_way_[digest];
     const auto found = contents_.find(digest);
-    if (found != contents_.end() && held(found->second)) {
-        found->second.tried = now;
+    if (found != contents_.end() && is_quarantined(found->second)) {
+        found->second.last_probe = now;
     }
 }
 
@@ -42,7 +42,7 @@
 
 bool crash_evidence::note_broken(const broken_run &run) {
     if (!contents_.contains(run.digest)) {
-        make_room();
+        evict_one();
     }
     content &known = contents_[run.digest];
     const auto same =
@@ -52,14 +52,14 @@
         return std::exchange(same->run.suspected, same->run.suspected && run.suspected) !=
                same->run.suspected;
     }
-    if (run.at <= known.cleared || known.workers.size() >= knobs_.most_breaks) {
+    if (run.at <= known.cleared || known.workers.size() >= knobs_.max_workers_per_content) {
         return false;
     }
     known.workers.push_back({run, worker_fate::kUnknown});
     return true;
 }
 
-void crash_evidence::revise(const broken_run &run) {
+void crash_evidence::update_weak(const broken_run &run) {
     const auto found = contents_.find(run.digest);
     if (found == contents_.end()) {
         return;
@@ -83,43 +83,44 @@
            }) > 0;
 }
 
-size_t crash_evidence::failed_trials(const content &known) const {
+size_t crash_evidence::failed_probes(const content &known) const {
     std::vector<MonotonicTime> times;
     for (const broken_worker &broken : known.workers) {
         if (counts(broken)) {
             times.push_back(broken.run.at);
         }
     }
-    if (times.size() <= knobs_.ends_to_quarantine) {
+    if (times.size() <= knobs_.quarantine_threshold) {
         return 0;
     }
     std::sort(times.begin(), times.end());
-    // Copies that were under way and breaks that are confirmed late come soon after the proof.
-    const MonotonicTime proven = times[knobs_.ends_to_quarantine - 1];
+    // Crashes under copies in progress and crashes that are confirmed late follow soon after the
+    // threshold is reached.
+    const MonotonicTime quarantined_at = times[knobs_.quarantine_threshold - 1];
     return static_cast<size_t>(std::count_if(times.begin(), times.end(), [&](MonotonicTime time) {
-        return time - proven >= knobs_.first_trial;
+        return time - quarantined_at >= knobs_.first_probe_delay;
     }));
 }
 
-Duration crash_evidence::trial_pause(size_t failed) const {
-    Duration pause = knobs_.first_trial;
-    for (size_t trials = 0; trials < failed && pause < knobs_.memory; ++trials) {
-        pause *= knobs_.trial_growth;
+Duration crash_evidence::probe_delay(size_t failed) const {
+    Duration pause = knobs_.first_probe_delay;
+    for (size_t probes = 0; probes < failed && pause < knobs_.evidence_lifetime; ++probes) {
+        pause *= knobs_.probe_backoff_factor;
     }
     return pause;
 }
 
-MonotonicTime crash_evidence::next_trial(uint64_t digest) const {
+MonotonicTime crash_evidence::next_probe(uint64_t digest) const {
     const content *known = find(digest);
     if (known == nullptr) {
         return {};
     }
-    return std::max(newest(*known), known->tried) + trial_pause(failed_trials(*known));
+    return std::max(newest_crash(*known), known->last_probe) + probe_delay(failed_probes(*known));
 }
 
 bool crash_evidence::suspect(const broken_worker &broken, MonotonicTime now) const {
     return counts(broken) || (broken.run.suspected && broken.fate == worker_fate::kUnknown &&
-                              now - broken.run.at <= knobs_.suspicion);
+                              now - broken.run.at <= knobs_.suspicion_timeout);
 }
 
 std::vector<MonotonicTime> crash_evidence::suspect_times(const content &known,
@@ -133,27 +134,27 @@
     return times;
 }
 
-bool crash_evidence::prove(const std::vector<MonotonicTime> &ends) const {
-    if (ends.empty() || ends.size() < knobs_.ends_to_quarantine) {
+bool crash_evidence::proves(const std::vector<MonotonicTime> &crash_times) const {
+    if (crash_times.empty() || crash_times.size() < knobs_.quarantine_threshold) {
         return false;
     }
-    const auto [first, last] = std::minmax_element(ends.begin(), ends.end());
-    return ends.size() == 1 || *last - *first >= knobs_.settle;
+    const auto [first, last] = std::minmax_element(crash_times.begin(), crash_times.end());
+    return crash_times.size() == 1 || *last - *first >= knobs_.settle_time;
 }
 
-bool crash_evidence::held(const content &known) const {
+bool crash_evidence::is_quarantined(const content &known) const {
     std::vector<MonotonicTime> times;
     for (const broken_worker &broken : known.workers) {
         if (counts(broken)) {
             times.push_back(broken.run.at);
         }
     }
-    return prove(times);
+    return proves(times);
 }
 
 bool crash_evidence::quarantined(uint64_t digest) const {
     const content *known = find(digest);
-    return known != nullptr && held(*known);
+    return known != nullptr && is_quarantined(*known);
 }
 
 MonotonicTime crash_evidence::settled_at(uint64_t digest) const {
@@ -164,7 +165,7 @@
             newest = std::max(newest, excused ? MonotonicTime{} : broken.run.at);
         }
     }
-    return newest == MonotonicTime{} ? newest : newest + knobs_.settle;
+    return newest == MonotonicTime{} ? newest : newest + knobs_.settle_time;
 }
 
 bool crash_evidence::needs_turn(uint64_t digest, MonotonicTime now) const {
@@ -180,36 +181,37 @@
     if (times.empty()) {
         return run_permit::kFree;
     }
-    if (held(*known)) {
-        if (!claim.tries || now < next_trial(digest)) {
+    if (is_quarantined(*known)) {
+        if (!claim.may_probe || now < next_probe(digest)) {
             return run_permit::kQuarantined;
         }
-    } else if (prove(times)) {
-        return run_permit::kWait; // until the peers' suspicions are confirmed, or lapse
+    } else if (proves(times)) {
+        return run_permit::kWait; // until the peers' suspicions are confirmed or expire
     }
     if (claim.lost_worker && times.size() == 1) {
-        return run_permit::kAlone;
+        return run_permit::kExclusive;
     }
     const bool waits = under_way_.contains(digest) || now < settled_at(digest);
-    return waits ? run_permit::kWait : run_permit::kAlone;
+    return waits ? run_permit::kWait : run_permit::kExclusive;
 }
 
-size_t crash_evidence::ends(uint64_t digest) const {
+size_t crash_evidence::crash_count(uint64_t digest) const {
     const content *known = find(digest);
-    return known == nullptr ? 0 : ends_of(*known);
+    return known == nullptr ? 0 : crashes_of(*known);
 }
 
 Duration crash_evidence::lifetime(const broken_worker &broken) const {
-    // A worker that lived on then may end any time later, for other reasons.
+    // A worker that survived may crash at any later time for other reasons.
     const bool settled = broken.fate == worker_fate::kAlive || broken.fate == worker_fate::kPlanned;
-    return settled ? knobs_.settled_after : knobs_.memory;
+    return settled ? knobs_.fate_known_after : knobs_.evidence_lifetime;
 }
 
-std::vector<broken_run> crash_evidence::review(const judge &fate_of, MonotonicTime now) {
+std::vector<broken_run> crash_evidence::review(const fate_lookup &fate_of, MonotonicTime now) {
     std::vector<broken_run> ended;
     for (auto &[digest, known] : contents_) {
         for (broken_worker &broken : known.workers) {
-            // Nothing undoes an end: its worker's entry may be forgotten long before.
+            // A crash is final; the entry of its worker may be dropped from the worker list long
+            // before the evidence expires.
             if (broken.fate == worker_fate::kEnded) {
                 continue;
             }
@@ -223,8 +225,8 @@
         });
     }
     std::erase_if(contents_, [&](const auto &entry) {
-        // Peers may repeat what an answer has disproved.
-        return entry.second.workers.empty() && now - entry.second.cleared > knobs_.settled_after;
+        // Peers may still repeat evidence that an answer has cleared.
+        return entry.second.workers.empty() && now - entry.second.cleared > knobs_.fate_known_after;
     });
     return ended;
 }
@@ -241,10 +243,10 @@
     return runs;
 }
 
-std::vector<uint64_t> crash_evidence::all_with_ends(size_t least) const {
+std::vector<uint64_t> crash_evidence::all_with_crashes(size_t least) const {
     std::vector<uint64_t> digests;
     for (const auto &[digest, known] : contents_) {
-        if (ends_of(known) >= least) {
+        if (crashes_of(known) >= least) {
             digests.push_back(digest);
         }
     }
@@ -255,7 +257,7 @@
 std::vector<uint64_t> crash_evidence::all_quarantined() const {
     std::vector<uint64_t> digests;
     for (const auto &[digest, known] : contents_) {
-        if (held(known)) {
+        if (is_quarantined(known)) {
             digests.push_back(digest);
         }
     }
@@ -263,16 +265,18 @@
     return digests;
 }
 
-// A caller that sends thousands of contents while workers end must not push out what is held.
-void crash_evidence::make_room() {
-    if (contents_.size() < knobs_.most_contents) {
+// A caller that sends thousands of contents while workers crash must not displace quarantined
+// contents.
+void crash_evidence::evict_one() {
+    if (contents_.size() < knobs_.max_contents) {
         return;
     }
     const auto least =
         std::min_element(contents_.begin(), contents_.end(), [](const auto &a, const auto &b) {
-            const size_t ends_a = ends_of(a.second);
-            const size_t ends_b = ends_of(b.second);
-            return ends_a != ends_b ? ends_a < ends_b : newest(a.second) < newest(b.second);
+            const size_t crashes_a = crashes_of(a.second);
+            const size_t crashes_b = crashes_of(b.second);
+            return crashes_a != crashes_b ? crashes_a < crashes_b
+                                          : newest_crash(a.second) < newest_crash(b.second);
         });
     contents_.erase(least);
 }
--- a/src/quarantine/crash_exchange.cc
+++ b/src/quarantine/crash_exchange.cc
@@ -10,13 +10,13 @@
     : time_source_(time_source), datagrams_(datagrams), quarantine_(quarantine), knobs_(knobs),
       timer_(dispatcher.create_timer([this] { flush(); })) {
     quarantine_.set_on_suspected([this](const broken_run &run) {
-        tell({{}, {}, {run}}, Duration(0), 1); // repeated as broken
+        enqueue({{}, {}, {run}}, Duration(0), 1); // sent again as broken
     });
     quarantine_.set_on_broken([this](const broken_run &run) {
-        tell({{run}, {}, {}}, knobs_.gather, knobs_.most_tells);
+        enqueue({{run}, {}, {}}, knobs_.batch_delay, knobs_.max_sends);
     });
     quarantine_.set_on_answered([this](const answered_run &run) {
-        tell({{}, {run}, {}}, knobs_.gather, knobs_.most_tells);
+        enqueue({{}, {run}, {}}, knobs_.batch_delay, knobs_.max_sends);
     });
 }
 
@@ -47,26 +47,27 @@
     return true;
 }
 
-void crash_exchange::tell(crash_message message, Duration gather, int tells) {
-    if (waiting_.size() >= knobs_.most_waiting) {
-        waiting_.pop_front();
+void crash_exchange::enqueue(crash_message message, Duration batch_delay, int sends) {
+    if (pending_.size() >= knobs_.max_pending) {
+        pending_.pop_front();
     }
-    waiting_.push_back({std::move(message), 0, tells, time_source_.monotonic_now() + gather});
+    pending_.push_back({std::move(message), 0, sends, time_source_.monotonic_now() + batch_delay});
     schedule();
 }
 
-MonotonicTime crash_exchange::next_flush() const {
-    constexpr Duration kAtOnce = std::chrono::seconds(1);
-    return paid_ - kAtOnce;
+MonotonicTime crash_exchange::next_flush_time() const {
+    constexpr Duration kBurst = std::chrono::seconds(1);
+    return budget_time_ - kBurst;
 }
 
 void crash_exchange::schedule() {
-    if (waiting_.empty()) {
+    if (pending_.empty()) {
         return;
     }
-    const auto first = std::min_element(waiting_.begin(), waiting_.end(),
-                                        [](const news &a, const news &b) { return a.due < b.due; });
-    const MonotonicTime at = std::max(first->due, next_flush());
+    const auto first = std::min_element(
+        pending_.begin(), pending_.end(),
+        [](const pending_entry &a, const pending_entry &b) { return a.due < b.due; });
+    const MonotonicTime at = std::max(first->due, next_flush_time());
     timer_->enable(std::max(at - time_source_.monotonic_now(), Duration(0)));
 }
 
@@ -74,24 +75,26 @@
     const MonotonicTime now = time_source_.monotonic_now();
     crash_message message;
     size_t entries = 0;
-    for (news &piece : waiting_) {
-        if (piece.due > now || entries == kMostCrashEntries) {
+    for (pending_entry &entry : pending_) {
+        if (entry.due > now || entries == kMaxCrashEntries) {
             continue;
         }
         ++entries;
-        const crash_message &told = piece.message;
-        message.broken.insert(message.broken.end(), told.broken.begin(), told.broken.end());
-        message.answered.insert(message.answered.end(), told.answered.begin(), told.answered.end());
-        message.suspected.insert(message.suspected.end(), told.suspected.begin(),
-                                 told.suspected.end());
-        piece.due = now + knobs_.first_repeat * (1 << piece.told);
-        ++piece.told;
+        const crash_message &source = entry.message;
+        message.broken.insert(message.broken.end(), source.broken.begin(), source.broken.end());
+        message.answered.insert(message.answered.end(), source.answered.begin(),
+                                source.answered.end());
+        message.suspected.insert(message.suspected.end(), source.suspected.begin(),
+                                 source.suspected.end());
+        entry.due = now + knobs_.first_repeat_delay * (1 << entry.times_sent);
+        ++entry.times_sent;
     }
-    std::erase_if(waiting_, [&](const news &piece) { return piece.told >= piece.tells; });
+    std::erase_if(pending_,
+                  [&](const pending_entry &entry) { return entry.times_sent >= entry.sends; });
     if (entries > 0) {
-        const std::chrono::duration<double> price(static_cast<double>(peers_.size()) /
-                                                  knobs_.datagrams_per_second);
-        paid_ = std::max(paid_, now) + std::chrono::duration_cast<Duration>(price);
+        const std::chrono::duration<double> cost(static_cast<double>(peers_.size()) /
+                                                 knobs_.datagrams_per_second);
+        budget_time_ = std::max(budget_time_, now) + std::chrono::duration_cast<Duration>(cost);
         const std::string datagram = encode_crash_message(message, now);
         for (const Address &peer : peers_) {
             datagrams_.send(peer, datagram);
--- a/src/quarantine/quarantine_api.cc
+++ b/src/quarantine/quarantine_api.cc
@@ -23,8 +23,8 @@
 void quarantine_api::handle(HttpRequest request, ResponseWriterPtr writer) {
     std::string_view rest = request.path;
     if (!rest.starts_with(kPath)) {
-        writer->respond(error_response(not_run(ErrorKind::kNotFound, "there is no " + request.path,
-                                               "ask for " + std::string(kPath))));
+        writer->respond(error_response(not_run(ErrorKind::kNotFound, "unknown path " + request.path,
+                                               "use " + std::string(kPath))));
         return;
     }
     rest.remove_prefix(kPath.size());
@@ -35,9 +35,9 @@
     const bool releases =
         request.method == "POST" && rest.starts_with('/') && rest.ends_with(kRelease);
     if (!releases) {
-        writer->respond(error_response(not_run(ErrorKind::kNotFound,
-                                               "there is no " + request.method + " " + request.path,
-                                               "use POST /admin/quarantine/CONTENT/release")));
+        writer->respond(error_response(not_run(
+            ErrorKind::kNotFound, "unknown operation " + request.method + " " + request.path,
+            "use POST /admin/quarantine/CONTENT/release")));
         return;
     }
     const std::string_view content = rest.substr(1, rest.size() - 1 - kRelease.size());
@@ -52,14 +52,15 @@
 HttpResponse quarantine_api::release(const HttpRequest &request, std::string_view content) {
     if (!is_local(request)) {
         return error_response(not_run(ErrorKind::kUnauthenticated,
-                                      "contents are released from this machine alone",
-                                      "run chalkshedctl there"));
+                                      "contents can be released only from the node's own machine",
+                                      "run chalkshedctl on that machine"));
     }
     const auto digest = parse_number<uint64_t>(content, kHexadecimal);
     if (!digest || digest_text(*digest) != content || !quarantine_.release_by_operator(*digest)) {
-        return error_response(not_run(ErrorKind::kNotFound,
-                                      "no content " + std::string(content) + " is suspect or held",
-                                      "list them by chalkshedctl quarantine list"));
+        return error_response(
+            not_run(ErrorKind::kNotFound,
+                    "no content " + std::string(content) + " is suspect or quarantined",
+                    "list the contents with chalkshedctl quarantine list"));
     }
     return json_answer(listing());
 }
@@ -68,13 +69,13 @@
     const MonotonicTime now = time_source_.monotonic_now();
     const crash_evidence &evidence = quarantine_.evidence();
     nlohmann::json contents = nlohmann::json::array();
-    for (const uint64_t digest : evidence.all_with_ends(1)) {
-        const bool held = evidence.quarantined(digest);
+    for (const uint64_t digest : evidence.all_with_crashes(1)) {
+        const bool quarantined = evidence.quarantined(digest);
         nlohmann::json entry = {{"content", digest_text(digest)},
-                                {"workers_ended", evidence.ends(digest)},
-                                {"held", held}};
-        if (held) {
-            const Duration wait = std::max(evidence.next_trial(digest) - now, Duration(0));
+                                {"workers_ended", evidence.crash_count(digest)},
+                                {"held", quarantined}};
+        if (quarantined) {
+            const Duration wait = std::max(evidence.next_probe(digest) - now, Duration(0));
             entry["next_trial_ms"] = wait / std::chrono::milliseconds(1);
         }
         contents.push_back(std::move(entry));
--- a/src/quarantine/quarantine_rows.cc
+++ b/src/quarantine/quarantine_rows.cc
@@ -10,10 +10,11 @@
 namespace {
 
 constexpr int kHexadecimal = 16;
-constexpr size_t kSuspectEnds = 2;
+constexpr size_t kSuspectCrashes = 2;
 constexpr std::string_view kSuspectPrefix = "suspect-";
 
-// "WORKER MILLISECONDS": the hash of the worker's incarnation, and when its run broke off.
+// "WORKER MILLISECONDS": the hash of the worker's incarnation, and the time at which its run was
+// lost.
 std::optional<broken_run> parse_line(uint64_t digest, std::string_view line, Duration offset) {
     const size_t space = line.find(' ');
     if (space == std::string_view::npos) {
@@ -21,9 +22,9 @@
     }
     const auto worker = parse_number<uint32_t>(line.substr(0, space));
     const auto time = parse_number<int64_t>(line.substr(space + 1));
-    // Beyond it, sums of times would not fit into their type.
-    constexpr int64_t kLatest = INT64_MAX / 1'000'000;
-    if (!worker || !time || *time < 0 || *time > kLatest) {
+    // Sums of later times would overflow.
+    constexpr int64_t kLatestTime = INT64_MAX / 1'000'000;
+    if (!worker || !time || *time < 0 || *time > kLatestTime) {
         return std::nullopt;
     }
     return broken_run{digest, *worker, MonotonicTime(std::chrono::milliseconds(*time) - offset)};
@@ -102,13 +103,13 @@
     if (!key) {
         logger_.write(LogLevel::kWarning, "quarantine_row_rejected",
                       {{"store_version", std::to_string(row.version)},
-                       {"reason", "its key names no content"},
+                       {"reason", "its key is not a content digest"},
                        {"remedy", "remove the row"}});
         return;
     }
     known_row &known = rows_[*key];
     if (row.version != 0 && row.version < known.version) {
-        return; // a refused write has told a newer one
+        return; // a rejected write has already returned a newer version
     }
     known.write_at = {};
     if (row.removed) {
@@ -120,7 +121,7 @@
     known.version = row.version;
     known.runs = decode_quarantine(key->digest, row.value, clock_offset());
     for (broken_run &run : known.runs) {
-        // A time to come would never be forgotten.
+        // A time in the future would never expire.
         run.at = std::min(run.at, time_source_.monotonic_now());
         quarantine_.learn_broken(run);
     }
@@ -138,14 +139,14 @@
     if (!listed_) {
         return;
     }
-    for (const uint64_t digest : quarantine_.evidence().all_with_ends(kSuspectEnds)) {
+    for (const uint64_t digest : quarantine_.evidence().all_with_crashes(kSuspectCrashes)) {
         rows_.try_emplace({digest, true});
     }
     for (const uint64_t digest : quarantine_.evidence().all_quarantined()) {
         rows_.try_emplace({digest, false});
     }
     for (auto &[key, row] : rows_) {
-        write_when_due(key, row);
+        write_if_due(key, row);
     }
     std::erase_if(rows_, [&](const auto &entry) {
         const auto &[key, row] = entry;
@@ -156,18 +157,19 @@
 
 bool quarantine_rows::wanted(const quarantine_row_key &key,
                              const std::vector<broken_run> &counted) const {
-    return key.suspect ? counted.size() >= kSuspectEnds
+    return key.suspect ? counted.size() >= kSuspectCrashes
                        : quarantine_.evidence().quarantined(key.digest);
 }
 
 bool quarantine_rows::differs(const quarantine_row_key &key, const known_row &row,
                               const std::vector<broken_run> &counted) const {
     if (!wanted(key, counted)) {
-        return row.version != 0 && removes_(key.digest);
+        return row.version != 0 && is_remover_(key.digest);
     }
     if (key.suspect) {
-        // What is held has a row that says more.
-        const bool fresh = time_source_.monotonic_now() - oldest_of(counted) < knobs_.suspect_after;
+        // A quarantined content has the more specific row.
+        const bool fresh =
+            time_source_.monotonic_now() - oldest_of(counted) < knobs_.suspect_write_delay;
         if (fresh || quarantine_.evidence().quarantined(key.digest)) {
             return false;
         }
@@ -175,7 +177,7 @@
     return lacks_any(row, counted);
 }
 
-void quarantine_rows::write_when_due(const quarantine_row_key &key, known_row &row) {
+void quarantine_rows::write_if_due(const quarantine_row_key &key, known_row &row) {
     const std::vector<broken_run> counted = quarantine_.evidence().counted(key.digest);
     const bool due = differs(key, row, counted);
     if (row.writing || !due) {
@@ -184,7 +186,7 @@
     }
     const MonotonicTime now = time_source_.monotonic_now();
     if (row.write_at == MonotonicTime{}) {
-        const Duration most = knobs_.pause_a_node * static_cast<int64_t>(nodes_);
+        const Duration most = knobs_.write_jitter_per_node * static_cast<int64_t>(nodes_);
         row.write_at = now + std::chrono::duration_cast<Duration>(random_.unit() * most);
     }
     if (now >= row.write_at) {
@@ -216,19 +218,20 @@
     known_row &row = found->second;
     row.writing = false;
     if (!commit) {
-        const Duration pause =
-            std::min(knobs_.retry * (1 << std::min(row.failures++, 4)), knobs_.longest_retry);
+        const Duration pause = std::min(knobs_.retry_delay * (1 << std::min(row.failures++, 4)),
+                                        knobs_.max_retry_delay);
         row.write_at = time_source_.monotonic_now() +
                        std::max(pause, commit.error().retry_after.value_or(Duration(0)));
         logger_.write(LogLevel::kInfo, "quarantine_not_recorded",
                       {{"content", digest_text(key.digest)},
                        {"reason", commit.error().message},
-                       {"remedy", "none needed: it is written again"}});
+                       {"remedy", "none needed: the write is retried"}});
         return;
     }
     row.failures = 0;
-    // Committed: the change comes by the table, soon. Refused: so does what is there already.
-    row.write_at = time_source_.monotonic_now() + knobs_.retry;
+    // If committed, the change arrives soon through the watched table; if rejected, so does the row
+    // that is already there.
+    row.write_at = time_source_.monotonic_now() + knobs_.retry_delay;
     if (!commit->committed && !commit->current.empty()) {
         StoredRow current = commit->current.front();
         current.removed = current.version == 0;
--- a/src/quarantine/request_digest.cc
+++ b/src/quarantine/request_digest.cc
@@ -12,7 +12,8 @@
     uint64_t digest = 0;
     for (const std::string *part : {&request.tenant, &request.host, &message.method, &message.path,
                                     &message.query, &message.body}) {
-        // The seed of each part is the digest of those before: the borders between parts count.
+        // Seeding each part with the digest of the preceding ones makes the boundaries between
+        // parts count.
         digest = content_hash(*part, digest + 1);
     }
     return digest;
--- a/src/quarantine/request_quarantine.cc
+++ b/src/quarantine/request_quarantine.cc
@@ -8,9 +8,9 @@
 namespace chalkshed {
 namespace {
 
-// Who saw a run break off.
-constexpr const char *kOwn = "own";
-constexpr const char *kTold = "told";
+// Who saw the run being lost; values of a log field and a metric label.
+constexpr const char *kSeenHere = "own";
+constexpr const char *kReported = "told";
 
 } // namespace
 
@@ -20,53 +20,55 @@
     : time_source_(time_source), workers_(workers), logger_(logger), metrics_(metrics),
       knobs_(knobs), evidence_(knobs.evidence),
       timer_(dispatcher.create_timer([this] { review(); })),
-      recent_timer_(dispatcher.create_timer([this] { tell_recent(); })),
-      suspected_timer_(dispatcher.create_timer([this] { tell_suspected(); })),
+      recent_timer_(dispatcher.create_timer([this] { report_recent(); })),
+      suspected_timer_(dispatcher.create_timer([this] { report_suspected(); })),
       claim_timer_(dispatcher.create_timer([this] { on_permits_changed_(); })) {}
 
 bool request_quarantine::holds(uint64_t digest) const {
-    const run_claim claim{.tries = tries(digest)};
+    const run_claim claim{.may_probe = may_probe(digest)};
     return evidence_.permit(digest, claim, time_source_.monotonic_now()) ==
            run_permit::kQuarantined;
 }
 
 run_permit request_quarantine::claim_run(uint64_t digest, bool lost_worker) {
     const MonotonicTime now = time_source_.monotonic_now();
-    const run_claim claim{.tries = tries(digest), .lost_worker = lost_worker};
+    const run_claim claim{.may_probe = may_probe(digest), .lost_worker = lost_worker};
     run_permit permit = evidence_.permit(digest, claim, now);
-    const bool may_run = permit == run_permit::kAlone || permit == run_permit::kWait;
+    const bool may_run = permit == run_permit::kExclusive || permit == run_permit::kWait;
     if (may_run && evidence_.needs_turn(digest, now) && !evidence_.under_way(digest)) {
-        // Asked while the evidence is still fresh, the answer is there when it has settled.
+        // Asking before the evidence has settled hides the latency of the turn request.
         const bool in_turn = turns_.take(digest, evidence_.settled_at(digest));
         permit = in_turn ? permit : run_permit::kWait;
     }
     if (permit == run_permit::kWait && on_permits_changed_ && !claim_timer_->enabled()) {
-        claim_timer_->enable(knobs_.claim_interval);
+        claim_timer_->enable(knobs_.claim_retry_interval);
     }
     return permit;
 }
 
 run_permit request_quarantine::permit_owned(uint64_t digest) const {
-    return evidence_.permit(digest, {.tries = true}, time_source_.monotonic_now());
+    return evidence_.permit(digest, {.may_probe = true}, time_source_.monotonic_now());
 }
 
 Error request_quarantine::refusal(uint64_t digest, const std::string &request_id) const {
-    constexpr Duration kSoonest = std::chrono::seconds(1);
-    constexpr Duration kLatest = std::chrono::minutes(1);
-    const size_t ends = evidence_.ends(digest);
-    const Duration wait = evidence_.next_trial(digest) - time_source_.monotonic_now();
+    constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
+    constexpr Duration kMaxRetryAfter = std::chrono::minutes(1);
+    const size_t crashes = evidence_.crash_count(digest);
+    const Duration wait = evidence_.next_probe(digest) - time_source_.monotonic_now();
     Error error = not_run(ErrorKind::kUnavailable,
-                          std::to_string(ends) + " workers ended while they ran this request",
-                          "change the request, or send it again after the time given");
-    error.retry_after = std::clamp(wait, kSoonest, kLatest);
+                          std::to_string(crashes) + " workers crashed while running this request",
+                          "change the request, or retry it after the Retry-After time");
+    error.retry_after = std::clamp(wait, kMinRetryAfter, kMaxRetryAfter);
     logger_.write(LogLevel::kInfo, "request_held",
                   {{"request", request_id},
                    {"content", digest_text(digest)},
-                   {"workers_ended", std::to_string(ends)},
+                   {"workers_ended", std::to_string(crashes)},
                    {"next_trial_ms", milliseconds_text(wait)}});
     metrics_
         .counter("chalkshed_quarantined_requests_refused_total",
-                 "Requests refused because workers ended under earlier ones of their content.", {})
+                 "Requests refused because workers crashed under earlier requests with the same "
+                 "content.",
+                 {})
         .add(1);
     return error;
 }
@@ -75,11 +77,11 @@
     const MonotonicTime now = time_source_.monotonic_now();
     evidence_.note_begun(digest, now);
     if (evidence_.needs_turn(digest, now)) {
-        in_turn_.insert(digest);
+        contents_with_turn_.insert(digest);
     }
     return lifetime_.guard([this, digest] {
         evidence_.note_over(digest);
-        if (!evidence_.under_way(digest) && in_turn_.erase(digest) > 0) {
+        if (!evidence_.under_way(digest) && contents_with_turn_.erase(digest) > 0) {
             turns_.note_over(digest, evidence_.settled_at(digest));
         }
     });
@@ -92,41 +94,41 @@
     const bool is_new = evidence_.note_broken(run);
     if (!silent) {
         recent_.push_back({run});
-        judge_recent();
+        evaluate_recent();
         run.weak = recent_.back().run.weak;
-        tell_soon(run);
+        schedule_reports(run);
     }
     if (is_new) {
-        log_broken(run, kOwn);
+        log_broken(run, kSeenHere);
         review_soon(digest);
     }
 }
 
-void request_quarantine::tell_soon(const broken_run &run) {
+void request_quarantine::schedule_reports(const broken_run &run) {
     suspected_.push_back(run);
     if (!suspected_timer_->enabled()) {
-        suspected_timer_->enable(knobs_.suspected_after);
+        suspected_timer_->enable(knobs_.suspicion_delay);
     }
     if (!recent_timer_->enabled()) {
-        recent_timer_->enable(knobs_.common_cause);
+        recent_timer_->enable(knobs_.common_cause_window);
     }
 }
 
-void request_quarantine::judge_recent() {
-    for (auto &[run, told] : recent_) {
-        if (told) {
+void request_quarantine::evaluate_recent() {
+    for (auto &[run, reported] : recent_) {
+        if (reported) {
             continue;
         }
-        const bool weak = recent_.size() > knobs_.most_judged || has_common_cause(run);
+        const bool weak = recent_.size() > knobs_.max_lost_runs || has_common_cause(run);
         if (weak != run.weak) {
             run.weak = weak;
-            evidence_.revise(run);
-            update_held(run.digest);
+            evidence_.update_weak(run);
+            update_quarantined(run.digest);
         }
     }
 }
 
-// What was sent after a run had broken off is no part of what took that one.
+// A run that was sent after another was lost can't have been lost to the same event.
 bool request_quarantine::broke_together(const broken_run &run, const broken_run &other,
                                         Duration within) {
     const bool run_first = run.at < other.at;
@@ -135,18 +137,18 @@
     return second.sent < first.at && second.at - first.at <= within;
 }
 
-// A cut or a reset takes runs of other contents at workers where this one did not run, or many
-// copies of it at one moment.
+// A cut link or a reset interrupts runs of other contents at workers where this content didn't run,
+// or many copies of it at the same instant.
 bool request_quarantine::has_common_cause(const broken_run &run) const {
     constexpr int kManyCopies = 3;
     int copies = 1;
-    for (const auto &[other, told] : recent_) {
+    for (const auto &[other, reported] : recent_) {
         if (other.worker == run.worker) {
             continue;
         }
         if (other.digest == run.digest) {
-            copies += broke_together(run, other, knobs_.same_moment) ? 1 : 0;
-        } else if (broke_together(run, other, knobs_.common_cause) &&
+            copies += broke_together(run, other, knobs_.same_instant_window) ? 1 : 0;
+        } else if (broke_together(run, other, knobs_.common_cause_window) &&
                    !explained(run.digest, other.worker)) {
             return true;
         }
@@ -160,7 +162,7 @@
     });
 }
 
-void request_quarantine::tell_suspected() {
+void request_quarantine::report_suspected() {
     for (broken_run &run : std::exchange(suspected_, {})) {
         const bool weak =
             std::any_of(recent_.begin(), recent_.end(), [&](const recent_run &recent) {
@@ -174,28 +176,30 @@
     }
 }
 
-void request_quarantine::tell_recent() {
+void request_quarantine::report_recent() {
     const MonotonicTime now = time_source_.monotonic_now();
     for (recent_run &recent : recent_) {
-        const bool due = now - recent.run.at >= knobs_.common_cause;
-        if (due && !std::exchange(recent.told, true) && !recent.run.weak && on_broken_) {
+        const bool due = now - recent.run.at >= knobs_.common_cause_window;
+        if (due && !std::exchange(recent.reported, true) && !recent.run.weak && on_broken_) {
             on_broken_(recent.run);
         }
     }
-    // One that is judged still may have broken off together with one that has been sent.
+    // A run that is still being evaluated may have been lost together with one that is already
+    // reported.
     std::erase_if(recent_, [&](const recent_run &recent) {
-        return now - recent.run.at >= 2 * knobs_.common_cause;
+        return now - recent.run.at >= 2 * knobs_.common_cause_window;
     });
     if (!recent_.empty()) {
-        const bool told = recent_.front().told;
-        const Duration lasts = told ? 2 * knobs_.common_cause : knobs_.common_cause;
+        const bool reported = recent_.front().reported;
+        const Duration lasts =
+            reported ? 2 * knobs_.common_cause_window : knobs_.common_cause_window;
         recent_timer_->enable(std::max(recent_.front().run.at + lasts - now, Duration(0)));
     }
 }
 
 void request_quarantine::note_answered(uint64_t digest, MonotonicTime sent) {
     if (evidence_.clear(digest, sent)) {
-        update_held(digest);
+        update_quarantined(digest);
         if (on_answered_) {
             on_answered_({digest, sent});
         }
@@ -205,14 +209,14 @@
 void request_quarantine::learn_broken(const broken_run &run) {
     if (evidence_.note_broken(run)) {
         observe_age(run);
-        log_broken(run, kTold);
-        note_running_elsewhere(run.digest);
+        log_broken(run, kReported);
+        report_running(run.digest);
         review_soon(run.digest);
     }
 }
 
-void request_quarantine::note_running_elsewhere(uint64_t digest) {
-    if (evidence_.under_way(digest) && in_turn_.insert(digest).second) {
+void request_quarantine::report_running(uint64_t digest) {
+    if (evidence_.under_way(digest) && contents_with_turn_.insert(digest).second) {
         turns_.note_running(digest);
     }
 }
@@ -221,7 +225,7 @@
     const std::chrono::duration<double> age = time_source_.monotonic_now() - run.at;
     metrics_
         .histogram("chalkshed_told_break_age_seconds",
-                   "How long ago a run had broken off when this node was told of it.", {})
+                   "Age of the loss of a run when this node received a peer's report of it.", {})
         .observe(age.count());
 }
 
@@ -230,25 +234,25 @@
 }
 
 bool request_quarantine::release_by_operator(uint64_t digest) {
-    if (evidence_.ends(digest) == 0) {
+    if (evidence_.crash_count(digest) == 0) {
         return false;
     }
     logger_.write(LogLevel::kWarning, "quarantine_released",
                   {{"content", digest_text(digest)},
-                   {"workers_ended", std::to_string(evidence_.ends(digest))}});
-    // Told and recorded as a whole answer to it would be.
+                   {"workers_ended", std::to_string(evidence_.crash_count(digest))}});
+    // Reported and recorded like a complete answer.
     note_answered(digest, time_source_.monotonic_now());
     return true;
 }
 
 void request_quarantine::release(uint64_t digest, MonotonicTime up_to) {
     if (evidence_.clear(digest, up_to)) {
-        update_held(digest);
+        update_quarantined(digest);
     }
 }
 
 void request_quarantine::review_soon(uint64_t digest) {
-    update_held(digest);
+    update_quarantined(digest);
     if (!timer_->enabled()) {
         timer_->enable(knobs_.review_interval);
     }
@@ -264,7 +268,7 @@
             on_broken_(run);
         }
     }
-    update_all_held();
+    update_all_quarantined();
     if (on_reviewed_) {
         on_reviewed_();
     }
@@ -275,11 +279,11 @@
 
 worker_fate request_quarantine::fate_of(const broken_run &run) const {
     const MonotonicTime as_of = time_source_.monotonic_now() - view_age_();
-    const bool would_be_gone = as_of > run.at + knobs_.entry_gone_within;
+    const bool entry_would_be_gone = as_of > run.at + knobs_.entry_removal_timeout;
     const WorkerPtr worker = workers_.find_hash(run.worker);
     if (!worker) {
-        // Long gone, or so new that this node has not heard of it.
-        return would_be_gone ? worker_fate::kEnded : worker_fate::kUnknown;
+        // Either removed long ago, or so new that this node's list doesn't have it yet.
+        return entry_would_be_gone ? worker_fate::kEnded : worker_fate::kUnknown;
     }
     if (worker->record.leaving) {
         return worker_fate::kPlanned;
@@ -287,19 +291,19 @@
     if (!worker->listed || worker->replaced) {
         return worker_fate::kEnded;
     }
-    const bool answered = worker->outcomes.own().succeeded > run.at + knobs_.answer_lag;
-    return answered || would_be_gone ? worker_fate::kAlive : worker_fate::kUnknown;
+    const bool answered = worker->outcomes.own().succeeded > run.at + knobs_.max_answer_lag;
+    return answered || entry_would_be_gone ? worker_fate::kAlive : worker_fate::kUnknown;
 }
 
-// Each crash breaks off runs of innocent requests: of what peers tell, only what repeats is logged.
+// Each crash interrupts runs of innocent requests: reports of peers are logged only from the second
+// crash of a content on.
 void request_quarantine::log_broken(const broken_run &run, const char *source) const {
     metrics_
         .counter("chalkshed_runs_broken_off_total",
-                 "Runs that broke off with their worker's connection, by who saw it.",
-                 {{"source", source}})
+                 "Runs lost with their worker's connection, by who saw it.", {{"source", source}})
         .add(1);
-    const size_t ends = evidence_.ends(run.digest);
-    if (source == kTold && ends < 2) {
+    const size_t crashes = evidence_.crash_count(run.digest);
+    if (source == kReported && crashes < 2) {
         return;
     }
     const WorkerPtr worker = workers_.find_hash(run.worker);
@@ -309,46 +313,47 @@
                    {"worker_hash", std::to_string(run.worker)},
                    {"source", source},
                    {"weak", run.weak ? "yes" : "no"},
-                   {"ran_ms", source == kOwn ? milliseconds_text(run.at - run.sent) : ""},
+                   {"ran_ms", source == kSeenHere ? milliseconds_text(run.at - run.sent) : ""},
                    {"broken_ms_ago", milliseconds_text(time_source_.monotonic_now() - run.at)},
-                   {"workers_ended", std::to_string(ends)}});
+                   {"workers_ended", std::to_string(crashes)}});
 }
 
 void request_quarantine::log_confirmed(const broken_run &run) const {
-    const size_t ends = evidence_.ends(run.digest);
-    if (ends < 2) {
+    const size_t crashes = evidence_.crash_count(run.digest);
+    if (crashes < 2) {
         return;
     }
     logger_.write(LogLevel::kInfo, "worker_end_confirmed",
                   {{"content", digest_text(run.digest)},
                    {"worker_hash", std::to_string(run.worker)},
                    {"broken_ms_ago", milliseconds_text(time_source_.monotonic_now() - run.at)},
-                   {"workers_ended", std::to_string(ends)}});
+                   {"workers_ended", std::to_string(crashes)}});
 }
 
-void request_quarantine::update_held(uint64_t digest) {
-    const bool held = evidence_.quarantined(digest);
-    if (held == held_.contains(digest)) {
+void request_quarantine::update_quarantined(uint64_t digest) {
+    const bool quarantined = evidence_.quarantined(digest);
+    if (quarantined == quarantined_.contains(digest)) {
         return;
     }
-    if (held) {
-        held_.insert(digest);
+    if (quarantined) {
+        quarantined_.insert(digest);
     } else {
-        held_.erase(digest);
+        quarantined_.erase(digest);
     }
-    logger_.write(held ? LogLevel::kWarning : LogLevel::kInfo,
-                  held ? "request_quarantined" : "quarantine_lifted",
+    logger_.write(quarantined ? LogLevel::kWarning : LogLevel::kInfo,
+                  quarantined ? "request_quarantined" : "quarantine_lifted",
                   {{"content", digest_text(digest)},
-                   {"workers_ended", std::to_string(evidence_.ends(digest))}});
-    metrics_.gauge("chalkshed_quarantined_contents", "Contents of requests that are held.", {})
-        .set(static_cast<double>(held_.size()));
+                   {"workers_ended", std::to_string(evidence_.crash_count(digest))}});
+    metrics_
+        .gauge("chalkshed_quarantined_contents", "Contents of requests that are quarantined.", {})
+        .set(static_cast<double>(quarantined_.size()));
 }
 
-void request_quarantine::update_all_held() {
+void request_quarantine::update_all_quarantined() {
     std::vector<uint64_t> digests = evidence_.all_quarantined();
-    digests.insert(digests.end(), held_.begin(), held_.end());
+    digests.insert(digests.end(), quarantined_.begin(), quarantined_.end());
     for (const uint64_t digest : digests) {
-        update_held(digest);
+        update_quarantined(digest);
     }
 }
 
--- a/src/quarantine/run_turns.cc
+++ b/src/quarantine/run_turns.cc
@@ -9,8 +9,8 @@
 namespace chalkshed {
 namespace {
 
-// What a peer asks for may not block a content for longer.
-constexpr Duration kLongestWait = std::chrono::seconds(1);
+// Upper bound on the time for which a peer's message may block a content.
+constexpr Duration kMaxWait = std::chrono::seconds(1);
 
 } // namespace
 
@@ -44,11 +44,11 @@
     return keeper;
 }
 
-run_turns::question &run_turns::question_about(uint64_t digest, MonotonicTime now) {
-    const Duration forgotten = knobs_.keeper.forgotten_after;
-    std::erase_if(questions_,
+run_turns::turn_request &run_turns::request_for(uint64_t digest, MonotonicTime now) {
+    const Duration forgotten = knobs_.keeper.idle_timeout;
+    std::erase_if(requests_,
                   [&](const auto &entry) { return now - entry.second.asked > forgotten; });
-    const auto [entry, is_new] = questions_.try_emplace(digest);
+    const auto [entry, is_new] = requests_.try_emplace(digest);
     if (is_new) {
         entry->second.first = now;
     }
@@ -61,25 +61,25 @@
     if (keeper == nullptr) {
         return keeper_.ask(digest, session_, not_before, now);
     }
-    question &asked = question_about(digest, now);
+    turn_request &asked = request_for(digest, now);
     if (asked.granted != MonotonicTime{} && now - asked.granted < knobs_.grant_lifetime) {
         return now >= not_before;
     }
-    if (unanswered(digest, asked, now)) {
+    if (timed_out(digest, asked, now)) {
         return now >= not_before;
     }
-    if (asked.asked == MonotonicTime{} || now - asked.asked >= knobs_.ask_interval) {
+    if (asked.asked == MonotonicTime{} || now - asked.asked >= knobs_.request_interval) {
         asked.asked = now;
-        tell(*keeper, {turn_word::kAsk, digest, std::max(not_before - now, Duration(0))});
+        send_entry(*keeper, {turn_word::kAsk, digest, std::max(not_before - now, Duration(0))});
     }
     return false;
 }
 
-bool run_turns::unanswered(uint64_t digest, question &asked, MonotonicTime now) {
-    if (now - std::max(asked.first, asked.answered) < knobs_.patience) {
+bool run_turns::timed_out(uint64_t digest, turn_request &asked, MonotonicTime now) {
+    if (now - std::max(asked.first, asked.answered) < knobs_.answer_timeout) {
         return false;
     }
-    // Counts as answered: by this node.
+    // This node grants itself the turn.
     asked.answered = now;
     asked.granted = now;
     logger_.write(
@@ -90,27 +90,27 @@
 
 void run_turns::note_running(uint64_t digest) {
     if (const peer *keeper = keeper_of(digest)) {
-        tell(*keeper, {turn_word::kRunning, digest, Duration(0)});
+        send_entry(*keeper, {turn_word::kRunning, digest, Duration(0)});
     } else {
         keeper_.note_running(digest, session_, time_source_.monotonic_now());
     }
 }
 
 void run_turns::note_over(uint64_t digest, MonotonicTime not_before) {
-    questions_.erase(digest);
+    requests_.erase(digest);
     if (const peer *keeper = keeper_of(digest)) {
         const Duration wait = not_before - time_source_.monotonic_now();
-        tell(*keeper, {turn_word::kOver, digest, std::max(wait, Duration(0))});
+        send_entry(*keeper, {turn_word::kOver, digest, std::max(wait, Duration(0))});
     } else {
         keeper_.note_over(digest, session_, not_before);
     }
 }
 
 MonotonicTime run_turns::not_before(const turn_entry &entry, MonotonicTime now) const {
-    return std::max(now + std::min(entry.wait, kLongestWait), not_before_(entry.digest));
+    return std::max(now + std::min(entry.wait, kMaxWait), not_before_(entry.digest));
 }
 
-void run_turns::tell(const peer &to, const turn_entry &entry) {
+void run_turns::send_entry(const peer &to, const turn_entry &entry) {
     datagrams_.send(to.address, encode_turn_message({session_, {entry}}));
 }
 
@@ -122,18 +122,19 @@
     const auto known = sessions_.find(message->session);
     if (known != sessions_.end()) {
         for (const turn_entry &entry : message->entries) {
-            take_entry(peers_[known->second], entry);
+            handle_entry(peers_[known->second], entry);
         }
     }
     return true;
 }
 
-void run_turns::take_entry(const peer &from, const turn_entry &entry) {
+void run_turns::handle_entry(const peer &from, const turn_entry &entry) {
     const MonotonicTime now = time_source_.monotonic_now();
-    switch (entry.word) {
+    switch (entry.type) {
     case turn_word::kAsk: {
         const bool granted = keeper_.ask(entry.digest, from.session, not_before(entry, now), now);
-        tell(from, {granted ? turn_word::kGranted : turn_word::kBusy, entry.digest, Duration(0)});
+        send_entry(from,
+                   {granted ? turn_word::kGranted : turn_word::kBusy, entry.digest, Duration(0)});
         return;
     }
     case turn_word::kRunning:
@@ -144,18 +145,18 @@
         return;
     case turn_word::kGranted:
     case turn_word::kBusy:
-        take_answer(entry, now);
+        handle_answer(entry, now);
         return;
     }
 }
 
-void run_turns::take_answer(const turn_entry &entry, MonotonicTime now) {
-    const auto found = questions_.find(entry.digest);
-    if (found == questions_.end()) {
-        return; // its request has ended meanwhile; the turn lapses
+void run_turns::handle_answer(const turn_entry &entry, MonotonicTime now) {
+    const auto found = requests_.find(entry.digest);
+    if (found == requests_.end()) {
+        return; // the request has finished meanwhile; the turn expires
     }
     found->second.answered = now;
-    if (entry.word == turn_word::kGranted) {
+    if (entry.type == turn_word::kGranted) {
         found->second.granted = now;
         on_granted_();
     }
--- a/src/quarantine/turn_keeper.cc
+++ b/src/quarantine/turn_keeper.cc
@@ -6,17 +6,17 @@
 
 turn_keeper::content *turn_keeper::current(uint64_t digest, MonotonicTime now) {
     if (!contents_.contains(digest)) {
-        if (contents_.size() >= knobs_.most_contents) {
-            forget_old(now);
+        if (contents_.size() >= knobs_.max_contents) {
+            drop_idle(now);
         }
-        if (contents_.size() >= knobs_.most_contents) {
+        if (contents_.size() >= knobs_.max_contents) {
             return nullptr;
         }
     }
     content &known = contents_[digest];
     std::erase_if(known.turns,
-                  [&](const turn &held) { return now - held.since > knobs_.longest_turn; });
-    known.noted = now;
+                  [&](const turn &held) { return now - held.since > knobs_.turn_timeout; });
+    known.last_used = now;
     return &known;
 }
 
@@ -53,9 +53,9 @@
     std::erase_if(known.turns, [&](const turn &held) { return held.node == node; });
 }
 
-void turn_keeper::forget_old(MonotonicTime now) {
+void turn_keeper::drop_idle(MonotonicTime now) {
     std::erase_if(contents_, [&](const auto &entry) {
-        return now - entry.second.noted > knobs_.forgotten_after;
+        return now - entry.second.last_used > knobs_.idle_timeout;
     });
 }
 
--- a/src/quarantine/turn_message.cc
+++ b/src/quarantine/turn_message.cc
@@ -9,7 +9,7 @@
 namespace chalkshed {
 namespace {
 
-constexpr std::array kWords = {
+constexpr std::array kEntryTypes = {
     std::pair{turn_word::kAsk, wire::TurnWord::kAsk},
     std::pair{turn_word::kGranted, wire::TurnWord::kGranted},
     std::pair{turn_word::kBusy, wire::TurnWord::kBusy},
@@ -17,16 +17,16 @@
     std::pair{turn_word::kRunning, wire::TurnWord::kRunning},
 };
 
-wire::TurnWord wire_word(turn_word word) {
-    const auto *const found = std::find_if(kWords.begin(), kWords.end(),
-                                           [&](const auto &pair) { return pair.first == word; });
-    return found == kWords.end() ? wire::TurnWord::kUnknown : found->second;
+wire::TurnWord to_wire_type(turn_word type) {
+    const auto *const found = std::find_if(kEntryTypes.begin(), kEntryTypes.end(),
+                                           [&](const auto &pair) { return pair.first == type; });
+    return found == kEntryTypes.end() ? wire::TurnWord::kUnknown : found->second;
 }
 
-std::optional<turn_word> read_word(wire::TurnWord word) {
-    const auto *const found = std::find_if(kWords.begin(), kWords.end(),
-                                           [&](const auto &pair) { return pair.second == word; });
-    return found == kWords.end() ? std::nullopt : std::optional(found->first);
+std::optional<turn_word> from_wire_type(wire::TurnWord type) {
+    const auto *const found = std::find_if(kEntryTypes.begin(), kEntryTypes.end(),
+                                           [&](const auto &pair) { return pair.second == type; });
+    return found == kEntryTypes.end() ? std::nullopt : std::optional(found->first);
 }
 
 } // namespace
@@ -37,7 +37,7 @@
         const int64_t wait = std::chrono::ceil<std::chrono::milliseconds>(entry.wait).count();
         entries.emplace_back(entry.digest,
                              static_cast<uint32_t>(std::clamp<int64_t>(wait, 0, UINT32_MAX)),
-                             wire_word(entry.word));
+                             to_wire_type(entry.type));
     }
     flatbuffers::FlatBufferBuilder builder;
     const auto session = builder.CreateString(message.session);
@@ -58,9 +58,9 @@
     message.session = received->session()->str();
     if (received->entries() != nullptr) {
         for (const wire::TurnEntry *entry : *received->entries()) {
-            if (const auto word = read_word(entry->word())) {
+            if (const auto type = from_wire_type(entry->word())) {
                 message.entries.push_back(
-                    {*word, entry->digest(), std::chrono::milliseconds(entry->wait_ms())});
+                    {*type, entry->digest(), std::chrono::milliseconds(entry->wait_ms())});
             }
         }
     }
--- a/tests/quarantine/crash_evidence_test.cc
+++ b/tests/quarantine/crash_evidence_test.cc
@@ -18,108 +18,108 @@
     return kStart + passed;
 }
 
-worker_fate all_ended(const broken_run &) {
+worker_fate all_crashed(const broken_run &) {
     return worker_fate::kEnded;
 }
 worker_fate all_alive(const broken_run &) {
     return worker_fate::kAlive;
 }
 
-/** Runs of the content break off at that many workers, a second apart. */
-void break_off(crash_evidence &evidence, uint32_t workers) {
+/** Runs of the content are lost at that many workers, one second apart. */
+void lose_runs(crash_evidence &evidence, uint32_t workers) {
     for (uint32_t worker = 1; worker <= workers; ++worker) {
         evidence.note_broken({kContent, worker, at(seconds(worker)), false});
     }
 }
 
-TEST(CrashEvidence, HoldsAContentUnderWhichThreeWorkersBrokeOff) {
+TEST(CrashEvidence, QuarantinesAContentThatLostThreeWorkers) {
     crash_evidence evidence;
     EXPECT_EQ(evidence.permit(kContent, {}, kStart), run_permit::kFree);
-    break_off(evidence, 2);
-    EXPECT_EQ(evidence.permit(kContent, {}, at(seconds(3))), run_permit::kAlone);
-    break_off(evidence, 3);
+    lose_runs(evidence, 2);
+    EXPECT_EQ(evidence.permit(kContent, {}, at(seconds(3))), run_permit::kExclusive);
+    lose_runs(evidence, 3);
     EXPECT_EQ(evidence.permit(kContent, {}, at(seconds(3))), run_permit::kQuarantined);
 }
 
 TEST(CrashEvidence, CountsAWorkerOnce) {
     crash_evidence evidence;
-    break_off(evidence, 1);
+    lose_runs(evidence, 1);
     EXPECT_FALSE(evidence.note_broken({kContent, 1, at(seconds(5)), false}));
-    EXPECT_EQ(evidence.ends(kContent), 1U);
+    EXPECT_EQ(evidence.crash_count(kContent), 1U);
 }
 
-TEST(CrashEvidence, DropsBreaksWhoseWorkersLiveOn) {
+TEST(CrashEvidence, DropsLostRunsWhoseWorkersSurvived) {
     crash_evidence evidence;
-    break_off(evidence, 3);
+    lose_runs(evidence, 3);
     evidence.review(&all_alive, at(seconds(4)));
     EXPECT_EQ(evidence.permit(kContent, {}, at(seconds(4))), run_permit::kFree);
-    // An end hours later has nothing to do with it.
+    // A later crash is unrelated.
     evidence.review(&all_alive, at(seconds(20)));
-    evidence.review(&all_ended, at(seconds(21)));
-    EXPECT_EQ(evidence.ends(kContent), 0U);
+    evidence.review(&all_crashed, at(seconds(21)));
+    EXPECT_EQ(evidence.crash_count(kContent), 0U);
 }
 
-TEST(CrashEvidence, CountsWeakEvidenceOnlyOnceTheWorkerHasEnded) {
+TEST(CrashEvidence, CountsWeakEvidenceOnlyOnceTheWorkerHasCrashed) {
     crash_evidence evidence;
     for (uint32_t worker = 1; worker <= 3; ++worker) {
         evidence.note_broken({kContent, worker, kStart, true});
     }
-    EXPECT_EQ(evidence.ends(kContent), 0U);
-    EXPECT_EQ(evidence.review(&all_ended, at(seconds(3))).size(), 3U);
-    EXPECT_EQ(evidence.ends(kContent), 3U);
+    EXPECT_EQ(evidence.crash_count(kContent), 0U);
+    EXPECT_EQ(evidence.review(&all_crashed, at(seconds(3))).size(), 3U);
+    EXPECT_EQ(evidence.crash_count(kContent), 3U);
 }
 
 TEST(CrashEvidence, AnAnswerSentAfterTheEvidenceClearsItAndOneSentBeforeDoesNot) {
     crash_evidence evidence;
-    break_off(evidence, 3);
+    lose_runs(evidence, 3);
     EXPECT_FALSE(evidence.clear(kContent, kStart));
     EXPECT_TRUE(evidence.quarantined(kContent));
     EXPECT_TRUE(evidence.clear(kContent, at(seconds(4))));
     EXPECT_FALSE(evidence.quarantined(kContent));
-    // A peer repeats what has been disproved.
+    // A peer repeats evidence that has been cleared.
     EXPECT_FALSE(evidence.note_broken({kContent, 9, at(seconds(2)), false}));
 }
 
-TEST(CrashEvidence, LetsOneRunOfASuspectBeginAtATime) {
+TEST(CrashEvidence, AllowsOneRunOfASuspectContentAtATime) {
     crash_evidence evidence;
-    break_off(evidence, 1);
+    lose_runs(evidence, 1);
     evidence.note_begun(kContent, at(seconds(2)));
     EXPECT_EQ(evidence.permit(kContent, {}, at(seconds(2))), run_permit::kWait);
     evidence.note_over(kContent);
-    EXPECT_EQ(evidence.permit(kContent, {}, at(seconds(2))), run_permit::kAlone);
+    EXPECT_EQ(evidence.permit(kContent, {}, at(seconds(2))), run_permit::kExclusive);
 }
 
-TEST(CrashEvidence, EndsAtOneMomentHoldNothing) {
+TEST(CrashEvidence, SimultaneousCrashesDoNotQuarantine) {
     const crash_knobs knobs;
     crash_evidence evidence(knobs);
     for (uint32_t worker = 1; worker <= 5; ++worker) {
         evidence.note_broken({kContent, worker, at(milliseconds(worker)), false});
     }
-    const MonotonicTime settled = at(milliseconds(5)) + knobs.settle;
+    const MonotonicTime settled = at(milliseconds(5)) + knobs.settle_time;
     EXPECT_FALSE(evidence.quarantined(kContent));
     EXPECT_EQ(evidence.permit(kContent, {}, settled - milliseconds(1)), run_permit::kWait);
-    EXPECT_EQ(evidence.permit(kContent, {}, settled), run_permit::kAlone);
-    // The run that tells a lost rack from a fatal content.
+    EXPECT_EQ(evidence.permit(kContent, {}, settled), run_permit::kExclusive);
+    // The next run distinguishes a lost rack from a fatal content.
     evidence.note_broken({kContent, 6, settled + milliseconds(60), false});
     EXPECT_TRUE(evidence.quarantined(kContent));
 }
 
-TEST(CrashEvidence, ARequestThatLostItsFirstWorkerGoesOnAtOnceAndWaitsAfterTheSecond) {
+TEST(CrashEvidence, RetriesAtOnceAfterTheFirstLostWorkerAndWaitsAfterTheSecond) {
     const crash_knobs knobs;
     crash_evidence evidence(knobs);
     constexpr run_claim kLost{.lost_worker = true};
     evidence.note_broken({kContent, 1, kStart, false});
-    EXPECT_EQ(evidence.permit(kContent, kLost, kStart), run_permit::kAlone);
+    EXPECT_EQ(evidence.permit(kContent, kLost, kStart), run_permit::kExclusive);
     EXPECT_EQ(evidence.permit(kContent, {}, kStart), run_permit::kWait);
     EXPECT_FALSE(evidence.needs_turn(kContent, kStart));
     const MonotonicTime second = at(milliseconds(60));
     evidence.note_broken({kContent, 2, second, false});
     EXPECT_EQ(evidence.permit(kContent, kLost, second), run_permit::kWait);
     EXPECT_TRUE(evidence.needs_turn(kContent, second));
-    EXPECT_EQ(evidence.permit(kContent, kLost, second + knobs.settle), run_permit::kAlone);
+    EXPECT_EQ(evidence.permit(kContent, kLost, second + knobs.settle_time), run_permit::kExclusive);
 }
 
-TEST(CrashEvidence, WhatPeersSuspectMakesAContentWaitAndHoldsItOnceConfirmed) {
+TEST(CrashEvidence, SuspicionsOfPeersDelayAContentAndQuarantineItOnceConfirmed) {
     const crash_knobs knobs;
     crash_evidence evidence(knobs);
     for (uint32_t worker = 1; worker <= 3; ++worker) {
@@ -127,12 +127,12 @@
             {kContent, worker, at(milliseconds(50 * worker)), false, {}, true}));
     }
     const MonotonicTime now = at(milliseconds(200));
-    EXPECT_EQ(evidence.ends(kContent), 0U);
+    EXPECT_EQ(evidence.crash_count(kContent), 0U);
     EXPECT_EQ(evidence.permit(kContent, {}, now), run_permit::kWait);
     crash_evidence unconfirmed = evidence;
-    EXPECT_EQ(
-        unconfirmed.permit(kContent, {}, at(milliseconds(150)) + knobs.suspicion + milliseconds(1)),
-        run_permit::kFree);
+    EXPECT_EQ(unconfirmed.permit(kContent, {},
+                                 at(milliseconds(150)) + knobs.suspicion_timeout + milliseconds(1)),
+              run_permit::kFree);
     for (uint32_t worker = 1; worker <= 3; ++worker) {
         EXPECT_TRUE(evidence.note_broken({kContent, worker, at(milliseconds(50 * worker)), false}));
         EXPECT_FALSE(
@@ -141,64 +141,65 @@
     EXPECT_EQ(evidence.permit(kContent, {}, now), run_permit::kQuarantined);
 }
 
-TEST(CrashEvidence, OneNodeTriesAgainAtGrowingPauses) {
+TEST(CrashEvidence, OneNodeProbesWithExponentialBackoff) {
     const crash_knobs knobs;
     crash_evidence evidence(knobs);
-    break_off(evidence, 3);
-    const MonotonicTime first = evidence.next_trial(kContent);
-    EXPECT_EQ(first, at(seconds(3)) + knobs.first_trial);
+    lose_runs(evidence, 3);
+    const MonotonicTime first = evidence.next_probe(kContent);
+    EXPECT_EQ(first, at(seconds(3)) + knobs.first_probe_delay);
     EXPECT_EQ(evidence.permit(kContent, {}, first), run_permit::kQuarantined);
-    EXPECT_EQ(evidence.permit(kContent, {.tries = true}, first - milliseconds(1)),
+    EXPECT_EQ(evidence.permit(kContent, {.may_probe = true}, first - milliseconds(1)),
               run_permit::kQuarantined);
-    EXPECT_EQ(evidence.permit(kContent, {.tries = true}, first), run_permit::kAlone);
-    // The trial ends a worker too.
+    EXPECT_EQ(evidence.permit(kContent, {.may_probe = true}, first), run_permit::kExclusive);
+    // The probe crashes a worker too.
     evidence.note_begun(kContent, first);
     evidence.note_broken({kContent, 4, first + milliseconds(60), false});
     evidence.note_over(kContent);
-    EXPECT_EQ(evidence.next_trial(kContent),
-              first + milliseconds(60) + knobs.trial_growth * knobs.first_trial);
+    EXPECT_EQ(evidence.next_probe(kContent),
+              first + milliseconds(60) + knobs.probe_backoff_factor * knobs.first_probe_delay);
 }
 
-// An item lost four workers of four that other requests ended, one of them known late, and was
-// tried again only after two minutes: each end beyond the third had counted as a failed trial.
-TEST(CrashEvidence, EndsAmongThoseThatProveItAreNoFailedTrials) {
+// Regression test: an item lost four workers, one of them confirmed late, to crashes that other
+// requests caused, and was probed again only after two minutes, because each crash beyond the third
+// counted as a failed probe.
+TEST(CrashEvidence, CrashesBeforeTheQuarantineAreNotFailedProbes) {
     const crash_knobs knobs;
     crash_evidence evidence(knobs);
-    break_off(evidence, 5);
-    EXPECT_EQ(evidence.next_trial(kContent), at(seconds(5)) + knobs.first_trial);
+    lose_runs(evidence, 5);
+    EXPECT_EQ(evidence.next_probe(kContent), at(seconds(5)) + knobs.first_probe_delay);
 }
 
-TEST(CrashEvidence, ATrialThatToldNothingIsNotRepeatedAtOnce) {
+TEST(CrashEvidence, AnInconclusiveProbeIsNotRepeatedAtOnce) {
     const crash_knobs knobs;
     crash_evidence evidence(knobs);
-    break_off(evidence, 3);
-    const MonotonicTime first = evidence.next_trial(kContent);
-    evidence.note_begun(kContent, first); // its caller leaves
+    lose_runs(evidence, 3);
+    const MonotonicTime first = evidence.next_probe(kContent);
+    evidence.note_begun(kContent, first); // its caller disconnects
     evidence.note_over(kContent);
-    EXPECT_EQ(evidence.next_trial(kContent), first + knobs.first_trial);
+    EXPECT_EQ(evidence.next_probe(kContent), first + knobs.first_probe_delay);
 }
 
-TEST(CrashEvidence, ForgetsEndsAfterItsMemory) {
+TEST(CrashEvidence, ForgetsCrashesAfterTheEvidenceLifetime) {
     const crash_knobs knobs;
     crash_evidence evidence(knobs);
-    break_off(evidence, 3);
-    evidence.review(&all_ended, at(knobs.memory));
+    lose_runs(evidence, 3);
+    evidence.review(&all_crashed, at(knobs.evidence_lifetime));
     EXPECT_TRUE(evidence.quarantined(kContent));
-    evidence.review(&all_ended, at(knobs.memory + seconds(4)));
+    evidence.review(&all_crashed, at(knobs.evidence_lifetime + seconds(4)));
     EXPECT_FALSE(evidence.quarantined(kContent));
     EXPECT_EQ(evidence.size(), 0U);
 }
 
-TEST(CrashEvidence, ManyContentsDoNotPushOutWhatIsHeld) {
+TEST(CrashEvidence, ManyContentsDoNotEvictQuarantinedOnes) {
     crash_knobs knobs;
-    knobs.most_contents = 100;
+    knobs.max_contents = 100;
     crash_evidence evidence(knobs);
-    break_off(evidence, 3);
+    lose_runs(evidence, 3);
     for (uint64_t content = 1000; content < 6000; ++content) {
         evidence.note_broken({content, 1, at(seconds(10)), false});
     }
     EXPECT_TRUE(evidence.quarantined(kContent));
-    EXPECT_LE(evidence.size(), knobs.most_contents);
+    EXPECT_LE(evidence.size(), knobs.max_contents);
 }
 
 TEST(CrashMessage, CarriesTimesAsAges) {
@@ -223,7 +224,7 @@
 
 TEST(CrashMessage, FitsIntoADatagramAndRejectsOtherBytes) {
     crash_message most;
-    most.broken.resize(kMostCrashEntries);
+    most.broken.resize(kMaxCrashEntries);
     const std::string datagram = encode_crash_message(most, kStart);
     constexpr size_t kMostDatagramBytes = 1200;
     EXPECT_LE(datagram.size(), kMostDatagramBytes);
--- a/tests/quarantine/ending_fleet.h
+++ b/tests/quarantine/ending_fleet.h
@@ -2,9 +2,9 @@
 #define CHALKSHED_TESTS_QUARANTINE_ENDING_FLEET_H
 
 /** \file
- * Nodes before workers that end in the midst of their runs: each worker that begins one of the
- * fatal contents ends a little later, and takes all its runs with it. Its entry goes after three
- * missed heartbeats; it starts again after some seconds, under a new id or under its own. */
+ * Simulated nodes and workers. A worker that starts one of the fatal contents crashes a little
+ * later and loses all its runs. Its entry is removed after three missed heartbeats; it restarts
+ * some seconds later, under a new id or under its previous one. */
 
 #include <map>
 #include <random>
@@ -17,20 +17,20 @@
 
 namespace chalkshed {
 
-class ending_fleet {
+class crashing_fleet {
 public:
     struct knobs {
         size_t nodes = 3;
         size_t workers = 18;
-        /** From the begin of a fatal run to the end of its worker; drawn up to `ends_by` where that
-         * is longer. */
-        Duration ends_after = milliseconds(60);
-        Duration ends_by{0};
-        /** Of what is drawn: ends of workers, nodes. */
+        /** Time from the start of a fatal run to the crash of its worker; drawn at random up to
+         * `crash_by` if that is longer. */
+        Duration crash_after = milliseconds(60);
+        Duration crash_by{0};
+        /** Seed of the random choice of crash times, workers and nodes. */
         uint64_t seed = 1;
-        Duration unlisted_after = milliseconds(2800);
-        Duration returns_after = milliseconds(3200);
-        /** The worker starts again under the id that it had. */
+        Duration entry_removed_after = milliseconds(2800);
+        Duration restarts_after = milliseconds(3200);
+        /** The worker restarts under its previous id. */
         bool keeps_id = false;
         ServingNodeKnobs node;
     };
@@ -42,17 +42,17 @@
         std::string node; // that sent it
     };
 
-    ending_fleet() : ending_fleet(knobs{}) {}
-    explicit ending_fleet(const knobs &chosen)
+    crashing_fleet() : crashing_fleet(knobs{}) {}
+    explicit crashing_fleet(const knobs &chosen)
         : knobs_(chosen), engine_(chosen.seed), cluster(chosen.nodes, 0, chosen.node) {
-        cluster.workers.on_call = [this](ScriptedCall &call) { take_call(call); };
+        cluster.workers.on_call = [this](ScriptedCall &call) { handle_call(call); };
         for (size_t number = 0; number < knobs_.workers; ++number) {
             start_worker(number);
         }
         cluster.clock.run_for(seconds(4));
     }
 
-    /** Sends a request of that content to a node, if it lives. */
+    /** Sends a request with that content to a node; does nothing if the node is down. */
     SeenAnswerPtr send(const std::string &node, const std::string &path,
                        const std::string &content) {
         HttpRequest message;
@@ -72,14 +72,14 @@
                                             std::make_unique<FakeWriter>(seen));
         return seen;
     }
-    /** The nodes in turn. */
-    std::string any_node() {
+    /** Round-robin choice of a node. */
+    std::string next_node() {
         return "n" + std::to_string(taken_++ % knobs_.nodes);
     }
-    std::string drawn_node() {
+    std::string random_node() {
         return "n" + std::to_string(engine_() % knobs_.nodes);
     }
-    /** Routes that repeat let an attempt of a caller reach so many workers. */
+    /** Sets the number of attempts, and thereby of workers, per request on all routes. */
     void allow_attempts(int attempts) {
         cluster.write_configuration(2, [attempts](nlohmann::json &configuration) {
             for (nlohmann::json &route : configuration["routes"]) {
@@ -89,8 +89,8 @@
         cluster.clock.run_for(milliseconds(500));
     }
 
-    /** All runs at the worker break off, and it takes no more. */
-    void end_worker(size_t number) {
+    /** All runs at the worker are lost, and it accepts no more. */
+    void stop_worker(size_t number) {
         worker &ended = workers_[number];
         if (!ended.up) {
             return;
@@ -103,32 +103,33 @@
                 call.fail(Ran::kUnknown);
             }
         }
-        call_after(cluster.loop, knobs_.unlisted_after, [this, number, id] {
+        call_after(cluster.loop, knobs_.entry_removed_after, [this, number, id] {
             if (workers_[number].id != id || !workers_[number].up) {
                 cluster.put("servers", id, std::nullopt);
             }
         });
-        call_after(cluster.loop, knobs_.returns_after, [this, number] { start_worker(number); });
+        call_after(cluster.loop, knobs_.restarts_after, [this, number] { start_worker(number); });
     }
 
-    /** A worker that no fatal request has ended, busy or not. */
-    void end_any_worker() {
-        end_worker(engine_() % knobs_.workers);
+    /** Stops a random worker, busy or not, without a fatal request. */
+    void stop_random_worker() {
+        stop_worker(engine_() % knobs_.workers);
     }
-    void end_worker_at(const Address &address) {
-        end_worker(number_of(address));
+    void stop_worker_at(const Address &address) {
+        stop_worker(number_of(address));
     }
-    /** The worker says that it will leave. */
+    /** The worker announces that it will leave. */
     void announce_leaving(const Address &address) {
         write_entry(number_of(address), "draining");
     }
-    /** As a release does: the worker says that it will leave, serves on, and ends. */
+    /** As in a rolling release: the worker announces that it will leave, keeps serving, and stops.
+     */
     void replace_worker(size_t number) {
         if (!workers_[number].up) {
             return;
         }
         write_entry(number, "draining");
-        call_after(cluster.loop, seconds(2), [this, number] { end_worker(number); });
+        call_after(cluster.loop, seconds(2), [this, number] { stop_worker(number); });
     }
     static uint64_t digest_of(const std::string &path, const std::string &content) {
         ServingRequest request;
@@ -139,7 +140,7 @@
         return request_digest(request);
     }
 
-    /** All connections of the node to workers are reset. */
+    /** Resets all connections from the node to workers. */
     void reset_connections(const std::string &node) {
         for (ScriptedCall &call : cluster.workers.calls) {
             if (call.open() && call.sender.starts_with(node + "#")) {
@@ -147,33 +148,33 @@
             }
         }
     }
-    /** Runs for that long, and notes which contents any node holds meanwhile. */
+    /** Advances the simulation and records which contents any node quarantines meanwhile. */
     void run_for(Duration length, Duration step = milliseconds(10)) {
         for (Duration passed{0}; passed < length; passed += step) {
             cluster.clock.run_for(step);
             for (const auto &[name, node] : cluster.nodes) {
                 if (node) {
                     const auto now_held = node->node.quarantine().evidence().all_quarantined();
-                    held.insert(now_held.begin(), now_held.end());
+                    quarantined_digests.insert(now_held.begin(), now_held.end());
                 }
             }
         }
     }
 
-    /** Digests of contents that some node has held. */
-    std::set<uint64_t> held;
+    /** Digests of contents that some node has quarantined. */
+    std::set<uint64_t> quarantined_digests;
     std::set<std::string> fatal;
     std::vector<fatal_run> runs;
-    /** When workers ended by each content. */
-    std::map<std::string, std::vector<MonotonicTime>> ends;
-    /** From the end of its worker to the next send, of each innocent request that lost one and was
-     * sent again. */
+    /** Times at which each content crashed a worker. */
+    std::map<std::string, std::vector<MonotonicTime>> crashes;
+    /** Time from the loss of its worker to its retry, for each innocent request that was retried.
+     */
     std::vector<Duration> innocent_delays;
 
-    /** Fatal runs sent later than that after the third end by the same content. */
+    /** Fatal runs sent later than `after` the third crash under the same content. */
     size_t late_runs(const std::string &content, Duration after = seconds(3)) const {
-        const auto found = ends.find(content);
-        if (found == ends.end() || found->second.size() < 3) {
+        const auto found = crashes.find(content);
+        if (found == crashes.end() || found->second.size() < 3) {
             return 0;
         }
         const MonotonicTime from = found->second[2] + after;
@@ -226,20 +227,20 @@
             lost_.emplace(content, cluster.clock.monotonic_now());
         }
     }
-    void note_sent_again(const std::string &content) {
+    void note_retried(const std::string &content) {
         if (const auto found = lost_.find(content); found != lost_.end()) {
             innocent_delays.push_back(cluster.clock.monotonic_now() - found->second);
             lost_.erase(found);
         }
     }
-    Duration time_to_end() {
-        const Duration range = knobs_.ends_by - knobs_.ends_after;
-        return range <= Duration(0) ? knobs_.ends_after
-                                    : knobs_.ends_after + Duration(engine_() % range.count());
+    Duration draw_crash_delay() {
+        const Duration range = knobs_.crash_by - knobs_.crash_after;
+        return range <= Duration(0) ? knobs_.crash_after
+                                    : knobs_.crash_after + Duration(engine_() % range.count());
     }
 
-    void take_call(ScriptedCall &call) {
-        note_sent_again(call.request.body);
+    void handle_call(ScriptedCall &call) {
+        note_retried(call.request.body);
         const size_t number = number_of(call.worker);
         worker &asked = workers_[number];
         if (!asked.up) {
@@ -259,27 +260,27 @@
                 call.callbacks->on_headers(421, {});
                 call.end();
             } else if (fatal.contains(call.request.body)) {
-                begin_fatal(call, number, id);
+                start_fatal_run(call, number, id);
             } else {
                 play(call, 0);
             }
         });
     }
 
-    void begin_fatal(ScriptedCall &call, size_t number, const std::string &id) {
+    void start_fatal_run(ScriptedCall &call, size_t number, const std::string &id) {
         const std::string content = call.request.body;
         const std::string node = call.sender.substr(0, call.sender.find('#'));
         runs.push_back({content, cluster.clock.monotonic_now(), id, node});
         call.begin();
-        call_after(cluster.loop, time_to_end(), [this, &call, number, id, content] {
+        call_after(cluster.loop, draw_crash_delay(), [this, &call, number, id, content] {
             if (call.open() && workers_[number].up && workers_[number].id == id) {
-                ends[content].push_back(cluster.clock.monotonic_now());
-                end_worker(number);
+                crashes[content].push_back(cluster.clock.monotonic_now());
+                stop_worker(number);
             }
         });
     }
 
-    /** Eight events, one each 50 ms. */
+    /** Sends eight events, one every 50 ms. */
     void play(ScriptedCall &call, uint64_t event) {
         constexpr uint64_t kEvents = 8;
         if (!call.open()) {
@@ -301,7 +302,8 @@
     const knobs knobs_;
     std::map<size_t, worker> workers_;
     std::mt19937_64 engine_;
-    /** Innocent contents that lost their worker and have not been sent since: when. */
+    /** Time of the loss for innocent contents that lost their worker and have not been retried
+     * since. */
     std::multimap<std::string, MonotonicTime> lost_;
     uint64_t requests_ = 0;
     uint64_t taken_ = 0;
--- a/tests/quarantine/quarantine_api_test.cc
+++ b/tests/quarantine/quarantine_api_test.cc
@@ -1,5 +1,6 @@
 /** \file
- * Operators list what is suspect or held, and release it at all nodes by asking one. */
+ * Operators list suspect and quarantined contents, and release one at all nodes by a request to
+ * any node. */
 
 #include <gtest/gtest.h>
 
@@ -13,7 +14,7 @@
 constexpr const char *kFatal = "ends its worker";
 constexpr const char *kPath = "/fixed/1";
 
-SeenAnswer ask(ending_fleet &fleet, const std::string &method, const std::string &path,
+SeenAnswer ask(crashing_fleet &fleet, const std::string &method, const std::string &path,
                const std::string &from = "127.0.0.1") {
     HttpRequest request;
     request.method = method;
@@ -25,22 +26,22 @@
     return *seen;
 }
 
-void let_it_be_held(ending_fleet &fleet) {
+void quarantine_fatal_request(crashing_fleet &fleet) {
     fleet.fatal = {kFatal};
-    while (fleet.held.empty()) {
-        fleet.send(fleet.any_node(), kPath, kFatal);
+    while (fleet.quarantined_digests.empty()) {
+        fleet.send(fleet.next_node(), kPath, kFatal);
         fleet.run_for(milliseconds(300));
     }
     fleet.run_for(seconds(2));
 }
 
-const std::string kContent = digest_text(ending_fleet::digest_of(kPath, kFatal));
+const std::string kContent = digest_text(crashing_fleet::digest_of(kPath, kFatal));
 
-TEST(QuarantineApi, ListsWhatIsHeldWithItsNextTrial) {
-    ending_fleet fleet;
+TEST(QuarantineApi, ListsQuarantinedContentsWithTheirNextProbe) {
+    crashing_fleet fleet;
     EXPECT_EQ(nlohmann::json::parse(ask(fleet, "GET", "/admin/quarantine").body),
               nlohmann::json::parse(R"({"contents": []})"));
-    let_it_be_held(fleet);
+    quarantine_fatal_request(fleet);
     const SeenAnswer answer = ask(fleet, "GET", "/admin/quarantine", "10.9.9.9");
     EXPECT_EQ(answer.status, 200);
     const nlohmann::json contents = nlohmann::json::parse(answer.body).at("contents");
@@ -51,15 +52,15 @@
     EXPECT_GT(contents[0].at("next_trial_ms").get<int>(), 0);
 }
 
-TEST(QuarantineApi, AReleaseAtOneNodeHoldsAtAllAndForNewOnes) {
-    ending_fleet fleet;
-    let_it_be_held(fleet);
+TEST(QuarantineApi, AReleaseAtOneNodeAppliesAtAllNodesAndToNewRequests) {
+    crashing_fleet fleet;
+    quarantine_fatal_request(fleet);
     fleet.fatal.clear();
     EXPECT_EQ(ask(fleet, "POST", "/admin/quarantine/" + kContent + "/release").status, 200);
     fleet.run_for(seconds(2));
     for (const std::string node : {"n0", "n1", "n2"}) {
-        EXPECT_EQ(fleet.cluster.node(node).quarantine().evidence().ends(
-                      ending_fleet::digest_of(kPath, kFatal)),
+        EXPECT_EQ(fleet.cluster.node(node).quarantine().evidence().crash_count(
+                      crashing_fleet::digest_of(kPath, kFatal)),
                   0U)
             << node;
     }
@@ -69,9 +70,9 @@
     EXPECT_EQ(answer->status, 200);
 }
 
-TEST(QuarantineApi, RefusesOtherMachinesAndUnknownContents) {
-    ending_fleet fleet;
-    let_it_be_held(fleet);
+TEST(QuarantineApi, RejectsOtherMachinesAndUnknownContents) {
+    crashing_fleet fleet;
+    quarantine_fatal_request(fleet);
     const std::string release = "/admin/quarantine/" + kContent + "/release";
     EXPECT_EQ(ask(fleet, "POST", release, "10.9.9.9").status, 401);
     EXPECT_EQ(ask(fleet, "GET", release).status, 404);
--- a/tests/quarantine/quarantine_property_test.cc
+++ b/tests/quarantine/quarantine_property_test.cc
@@ -1,6 +1,6 @@
 /** \file
- * A fatal request is sent again and again while nodes are lost, restarted, frozen and cut off and
- * the store is in trouble, among innocent ones and ends of workers that nobody caused. */
+ * Property test: a fatal request is retried among innocent ones and unrelated worker crashes,
+ * while nodes are lost, restarted, frozen and partitioned and the store fails. */
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -17,7 +17,6 @@
 
 class quarantine_run {
 public:
-    /** \param shrunk_evidence Evidence that a safeguard is needed: see the last tests. */
     explicit quarantine_run(const ServingNodeKnobs &node = {})
         : fleet_(knobs_with(node)), troubles_(fleet_.cluster, milliseconds(100)) {
         fleet_.fatal = {kFatal};
@@ -37,18 +36,18 @@
         load(seconds(8));
     }
 
-    /** Fatal runs that count: by nodes that nothing has happened to for a while, nor to the store.
+    /** Counted late runs: those from nodes that, like the store, have been undisturbed for a while.
      */
     size_t late_runs() const {
         return late_runs_;
     }
-    const std::set<uint64_t> &held() const {
-        return fleet_.held;
+    const std::set<uint64_t> &quarantined_digests() const {
+        return fleet_.quarantined_digests;
     }
 
 private:
-    static ending_fleet::knobs knobs_with(const ServingNodeKnobs &node) {
-        ending_fleet::knobs knobs;
+    static crashing_fleet::knobs knobs_with(const ServingNodeKnobs &node) {
+        crashing_fleet::knobs knobs;
         knobs.nodes = kNodes;
         knobs.node = node;
         return knobs;
@@ -61,7 +60,7 @@
         switch (step.event) {
         case Event::kSend:
         case Event::kEnd:
-            fleet_.end_worker(step.node + 7 * (fleet_.runs.size() % 2));
+            fleet_.stop_worker(step.node + 7 * (fleet_.runs.size() % 2));
             return;
         case Event::kKill:
         case Event::kRestart:
@@ -86,7 +85,7 @@
         disturbed_[node] = now();
     }
 
-    /** Innocent requests each 60 ms, a fatal one each 300. */
+    /** Sends innocent requests every 60 ms and a fatal one every 300 ms. */
     void load(Duration length) {
         for (Duration passed{0}; passed < length; passed += milliseconds(60)) {
             ++sent_;
@@ -108,18 +107,18 @@
     }
 
     void count_late_runs() {
-        const std::vector<MonotonicTime> &ends = fleet_.ends[kFatal];
+        const std::vector<MonotonicTime> &crashes = fleet_.crashes[kFatal];
         for (; counted_ < fleet_.runs.size(); ++counted_) {
-            const ending_fleet::fatal_run &run = fleet_.runs[counted_];
+            const crashing_fleet::fatal_run &run = fleet_.runs[counted_];
             const size_t node = std::stoul(run.node.substr(1));
-            const bool late = ends.size() >= 3 && run.sent > ends[2] + kContact;
+            const bool late = crashes.size() >= 3 && run.sent > crashes[2] + kContact;
             const bool in_touch = !out_[node] && run.sent > disturbed_[node] + kContact &&
                                   !store_out_ && run.sent > store_disturbed_ + kContact;
             late_runs_ += late && in_touch ? 1 : 0;
         }
     }
 
-    ending_fleet fleet_;
+    crashing_fleet fleet_;
     ClusterTroubles troubles_;
     std::map<size_t, MonotonicTime> disturbed_;
     std::map<size_t, bool> out_;
@@ -137,28 +136,28 @@
                                                   any_step(Event::kCount));
 }
 
-RC_GTEST_PROP(QuarantineProperty, AFatalRequestReachesFewWorkersAndNoInnocentOneIsHeld, ()) {
+RC_GTEST_PROP(QuarantineProperty, AFatalRequestReachesFewWorkersAndNoInnocentOneIsQuarantined, ()) {
     quarantine_run run;
     run.play(any_steps());
     RC_ASSERT(run.late_runs() <= kMostLateRuns);
-    for (const uint64_t digest : run.held()) {
-        RC_ASSERT(digest == ending_fleet::digest_of("/fixed/1", kFatal));
+    for (const uint64_t digest : run.quarantined_digests()) {
+        RC_ASSERT(digest == crashing_fleet::digest_of("/fixed/1", kFatal));
     }
 }
 
 TEST(QuarantineSafeguards, WithoutQuarantineTheCheckOfLateRunsFails) {
     ServingNodeKnobs off;
-    off.quarantine.evidence.ends_to_quarantine = SIZE_MAX;
+    off.quarantine.evidence.quarantine_threshold = SIZE_MAX;
     quarantine_run run(off);
     run.play({});
     EXPECT_GT(run.late_runs(), kMostLateRuns);
 }
 
-/** \return Late runs of a fatal content that comes to 12 nodes in turn. */
+/** \return Late runs of a fatal content that arrives at 12 nodes in turn. */
 size_t late_runs_among_many_nodes(bool datagrams, bool rows) {
-    ending_fleet::knobs knobs;
+    crashing_fleet::knobs knobs;
     knobs.nodes = 12;
-    ending_fleet fleet(knobs);
+    crashing_fleet fleet(knobs);
     fleet.fatal = {kFatal};
     for (const auto &[name, node] : fleet.cluster.nodes) {
         if (!datagrams) {
@@ -167,7 +166,7 @@
         node->store.set_cut(!rows);
     }
     for (int step = 0; step < 60; ++step) {
-        fleet.send(fleet.any_node(), "/fixed/1", kFatal);
+        fleet.send(fleet.next_node(), "/fixed/1", kFatal);
         fleet.run_for(milliseconds(300));
     }
     return fleet.late_runs(kFatal);
@@ -179,12 +178,12 @@
     EXPECT_GT(late_runs_among_many_nodes(false, false), kMostLateRuns);
 }
 
-TEST(QuarantineSafeguards, WithOneEndForProofInnocentRequestsAreHeld) {
+TEST(QuarantineSafeguards, WithAThresholdOfOneInnocentRequestsAreQuarantined) {
     ServingNodeKnobs hasty;
-    hasty.quarantine.evidence.ends_to_quarantine = 1;
+    hasty.quarantine.evidence.quarantine_threshold = 1;
     quarantine_run run(hasty);
     run.play({});
-    EXPECT_GT(run.held().size(), 1U);
+    EXPECT_GT(run.quarantined_digests().size(), 1U);
 }
 
 } // namespace
--- a/tests/quarantine/request_digest_test.cc
+++ b/tests/quarantine/request_digest_test.cc
@@ -42,7 +42,7 @@
     }
 }
 
-TEST(RequestDigest, KeepsTheBordersBetweenParts) {
+TEST(RequestDigest, KeepsTheBoundariesBetweenParts) {
     ServingRequest moved = make_request();
     moved.message.path = "/ask";
     moved.message.query = "/1lang=nb";
--- a/tests/quarantine/run_turns_test.cc
+++ b/tests/quarantine/run_turns_test.cc
@@ -1,5 +1,5 @@
 /** \file
- * Nodes that ask each other for turns by datagrams, which may be lost. */
+ * Nodes acquire turns from each other by datagrams, which may be lost. */
 
 #include <gtest/gtest.h>
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /** All nodes ask each millisecond. \return Those that may begin within the time. */
+    /** All nodes ask every millisecond. \return Those that may start a run within the time. */
     std::vector<std::string> ask_all(Duration length, MonotonicTime not_before = {}) {
         std::vector<std::string> may;
         for (Duration passed{0}; passed < length; passed += milliseconds(1)) {
@@ -65,12 +65,12 @@
     std::map<std::string, std::unique_ptr<HubDatagrams>> transports_;
 };
 
-TEST(RunTurns, OfManyNodesThatAskAtOnceOneBegins) {
+TEST(RunTurns, OneOfManyNodesThatAskAtOnceIsGrantedTheTurn) {
     turn_fleet fleet(20);
     EXPECT_EQ(fleet.ask_all(milliseconds(200)).size(), 1U);
 }
 
-TEST(RunTurns, TheNextBeginsWhenTheFirstIsOver) {
+TEST(RunTurns, TheNextNodeStartsWhenTheFirstHasFinished) {
     turn_fleet fleet(20);
     const std::vector<std::string> first = fleet.ask_all(milliseconds(30));
     ASSERT_EQ(first.size(), 1U);
@@ -85,7 +85,7 @@
     EXPECT_EQ(fleet.ask_all(milliseconds(200)).size(), 1U);
 }
 
-TEST(RunTurns, RunsInProgressAreWaitedFor) {
+TEST(RunTurns, NoTurnIsGrantedWhileRunsAreInProgress) {
     turn_fleet fleet(5);
     fleet.nodes["n3"]->note_running(kContent);
     fleet.clock.run_for(milliseconds(2));
@@ -94,8 +94,8 @@
     EXPECT_TRUE(may.empty() || may == std::vector<std::string>{"n3"});
 }
 
-// An innocent request that lost two workers must go on soon, whoever is lost.
-TEST(RunTurns, WithoutAnAnswerANodeDecidesByItselfWithinFiftyMilliseconds) {
+// An innocent request that lost two workers must be retried soon, whichever nodes have failed.
+TEST(RunTurns, WithoutAnAnswerANodeGrantsItselfTheTurnWithinFiftyMilliseconds) {
     turn_fleet fleet(5);
     for (const auto &[name, node] : fleet.nodes) {
         fleet.hub.cut.insert({name, 7660});
@@ -105,7 +105,7 @@
     EXPECT_EQ(fleet.ask_all(milliseconds(11), settled).size(), 5U);
 }
 
-TEST(RunTurns, OtherBytesAndWordsOfNewerBuildsHarmNothing) {
+TEST(RunTurns, MalformedMessagesAndUnknownEntryTypesAreIgnored) {
     turn_fleet fleet(2);
     const std::string whole = encode_turn_message({"n1#1", {{turn_word::kAsk, kContent, {}}}});
     constexpr size_t kMostPadding = 3;
@@ -124,11 +124,11 @@
         {reinterpret_cast<const char *>(builder.GetBufferPointer()), builder.GetSize()});
     ASSERT_TRUE(read);
     ASSERT_EQ(read->entries.size(), 1U);
-    EXPECT_EQ(read->entries.front().word, turn_word::kBusy);
+    EXPECT_EQ(read->entries.front().type, turn_word::kBusy);
     EXPECT_EQ(read->entries.front().wait, milliseconds(7));
 }
 
-TEST(RunTurns, ASessionThatIsNotKnownGetsNoTurn) {
+TEST(RunTurns, AnUnknownSessionGetsNoTurn) {
     turn_fleet fleet(2);
     fleet.nodes["n0"]->receive(
         encode_turn_message({"n1#2", {{turn_word::kRunning, kContent, {}}}}));
--- a/tests/quarantine/shared_evidence_test.cc
+++ b/tests/quarantine/shared_evidence_test.cc
@@ -1,5 +1,5 @@
 /** \file
- * What one node knows of a fatal request reaches the others and outlasts it. */
+ * Evidence of one node against a fatal request reaches the other nodes and outlives the node. */
 
 #include <gtest/gtest.h>
 
@@ -12,28 +12,28 @@
 constexpr const char *kFatal = "ends its worker";
 constexpr const char *kPath = "/fixed/1";
 
-/** Sends the fatal content until it is held, and lets the store hear of it. */
-void let_it_be_held(ending_fleet &fleet) {
+/** Sends the fatal content until it is quarantined and the store has its row. */
+void quarantine_fatal_request(crashing_fleet &fleet) {
     fleet.fatal = {kFatal};
-    while (fleet.held.empty()) {
-        fleet.send(fleet.any_node(), kPath, kFatal);
+    while (fleet.quarantined_digests.empty()) {
+        fleet.send(fleet.next_node(), kPath, kFatal);
         fleet.run_for(milliseconds(300));
     }
     fleet.run_for(seconds(1));
 }
 
-bool holds(ending_fleet &fleet, const std::string &node) {
+bool holds(crashing_fleet &fleet, const std::string &node) {
     return fleet.cluster.node(node).quarantine().evidence().quarantined(
-        ending_fleet::digest_of(kPath, kFatal));
+        crashing_fleet::digest_of(kPath, kFatal));
 }
 
-size_t rows(ending_fleet &fleet) {
+size_t rows(crashing_fleet &fleet) {
     return fleet.cluster.shared.rows.read({kQuarantineTable, "", "", ""}).rows.size();
 }
 
-TEST(SharedEvidence, ARefusalIsTrueAndSaysWhenToComeBack) {
-    ending_fleet fleet;
-    let_it_be_held(fleet);
+TEST(SharedEvidence, ARefusedRequestHasNotRunAndGetsRetryAfter) {
+    crashing_fleet fleet;
+    quarantine_fatal_request(fleet);
     const size_t runs = fleet.runs.size();
     const SeenAnswerPtr answer = fleet.send("n1", kPath, kFatal);
     fleet.run_for(seconds(1));
@@ -42,8 +42,8 @@
     EXPECT_EQ(fleet.runs.size(), runs);
 }
 
-TEST(SharedEvidence, ARequestThatHasRunIsNeverToldThatItHasNot) {
-    ending_fleet fleet;
+TEST(SharedEvidence, ARequestThatHasRunIsNeverReportedAsNotRun) {
+    crashing_fleet fleet;
     fleet.fatal = {kFatal};
     size_t refused = 0;
     for (int attempt = 0; attempt < 8; ++attempt) {
@@ -58,9 +58,9 @@
     EXPECT_GE(refused, 1U);
 }
 
-TEST(SharedEvidence, ARestartOfAllNodesForgetsNothing) {
-    ending_fleet fleet;
-    let_it_be_held(fleet);
+TEST(SharedEvidence, EvidenceSurvivesARestartOfAllNodes) {
+    crashing_fleet fleet;
+    quarantine_fatal_request(fleet);
     for (const std::string node : {"n0", "n1", "n2"}) {
         fleet.cluster.kill_node(node);
     }
@@ -74,10 +74,10 @@
 }
 
 TEST(SharedEvidence, ANodeThatNoPeerReachesLearnsFromTheStore) {
-    ending_fleet fleet;
+    crashing_fleet fleet;
     fleet.cluster.hub.cut.insert(fleet.cluster.nodes.at("n2")->address);
     fleet.fatal = {kFatal};
-    while (fleet.held.empty()) {
+    while (fleet.quarantined_digests.empty()) {
         fleet.send("n0", kPath, kFatal);
         fleet.run_for(milliseconds(300));
     }
@@ -85,26 +85,26 @@
     EXPECT_TRUE(holds(fleet, "n2"));
 }
 
-// Twelve nodes of which none hears another: each sees one end in twelve by itself.
+// Twelve nodes that don't hear each other: each sees one crash in twelve itself.
 TEST(SharedEvidence, NodesCutFromEachOtherSendFewLateRunsAltogether) {
-    ending_fleet::knobs knobs;
+    crashing_fleet::knobs knobs;
     knobs.nodes = 12;
-    ending_fleet fleet(knobs);
+    crashing_fleet fleet(knobs);
     fleet.fatal = {kFatal};
     for (const auto &[name, node] : fleet.cluster.nodes) {
         fleet.cluster.hub.cut.insert(node->address);
     }
     for (int step = 0; step < 60; ++step) {
-        fleet.send(fleet.any_node(), kPath, kFatal);
+        fleet.send(fleet.next_node(), kPath, kFatal);
         fleet.run_for(milliseconds(300));
     }
     constexpr size_t kMostLateRuns = 3;
-    EXPECT_GE(fleet.ends[kFatal].size(), 3U);
+    EXPECT_GE(fleet.crashes[kFatal].size(), 3U);
     EXPECT_LE(fleet.late_runs(kFatal), kMostLateRuns);
 }
 
-TEST(SharedEvidence, TwoEndsAreRecordedOnceTheyHaveStoodForAWhile) {
-    ending_fleet fleet;
+TEST(SharedEvidence, TwoCrashesAreStoredAfterADelay) {
+    crashing_fleet fleet;
     fleet.fatal = {kFatal};
     for (int copy = 0; copy < 2; ++copy) {
         fleet.send("n0", kPath, kFatal);
@@ -114,10 +114,10 @@
     fleet.run_for(seconds(1));
     const auto stored = fleet.cluster.shared.rows.read({kQuarantineTable, "", "", ""}).rows;
     ASSERT_EQ(stored.size(), 1U);
-    const uint64_t digest = ending_fleet::digest_of(kPath, kFatal);
+    const uint64_t digest = crashing_fleet::digest_of(kPath, kFatal);
     EXPECT_EQ(stored.front().key.key, to_text({digest, true}));
     EXPECT_EQ(decode_quarantine(digest, stored.front().value, {}).size(), 2U);
-    // It turns out to be harmless.
+    // The content turns out to be harmless.
     fleet.fatal.clear();
     fleet.send("n1", kPath, kFatal);
     fleet.run_for(seconds(3));
@@ -125,14 +125,14 @@
 }
 
 TEST(SharedEvidence, ARequestThatIsAnsweredAfterTwoLossesHasNoRow) {
-    ending_fleet fleet;
+    crashing_fleet fleet;
     fleet.allow_attempts(3);
     fleet.send("n0", "/stream/1", "innocent");
     for (int loss = 0; loss < 2; ++loss) {
         fleet.run_for(milliseconds(100));
         for (const ScriptedCall &call : fleet.cluster.workers.calls) {
             if (call.open()) {
-                fleet.end_worker_at(call.worker);
+                fleet.stop_worker_at(call.worker);
                 break;
             }
         }
@@ -143,7 +143,7 @@
     EXPECT_EQ(fleet.cluster.shared.rows.version(), before);
 }
 
-TEST(SharedEvidence, KeysOfRowsAreReadAsTheyAreWritten) {
+TEST(SharedEvidence, RowKeysRoundTrip) {
     for (const bool suspect : {false, true}) {
         const quarantine_row_key key{0x00ab, suspect};
         EXPECT_EQ(parse_quarantine_row_key(to_text(key)), key);
@@ -154,19 +154,19 @@
     }
 }
 
-TEST(SharedEvidence, WithoutTheStorePeersTellEachOther) {
-    ending_fleet fleet;
+TEST(SharedEvidence, WithoutTheStorePeersExchangeEvidence) {
+    crashing_fleet fleet;
     fleet.cluster.shared.trouble.silent = true;
-    let_it_be_held(fleet);
+    quarantine_fatal_request(fleet);
     for (const std::string node : {"n0", "n1", "n2"}) {
         EXPECT_TRUE(holds(fleet, node)) << node;
     }
 }
 
-TEST(SharedEvidence, WhatTheStoreCouldNotBeToldIsWrittenOnceItReturns) {
-    ending_fleet fleet;
+TEST(SharedEvidence, EvidenceIsWrittenOnceTheStoreIsAvailableAgain) {
+    crashing_fleet fleet;
     fleet.cluster.shared.trouble.down = true;
-    let_it_be_held(fleet);
+    quarantine_fatal_request(fleet);
     EXPECT_EQ(rows(fleet), 0U);
     fleet.cluster.shared.trouble = {};
     fleet.cluster.shared.wake_followers();
@@ -175,19 +175,19 @@
 }
 
 TEST(SharedEvidence, OneOfManyNodesWrites) {
-    ending_fleet::knobs knobs;
+    crashing_fleet::knobs knobs;
     knobs.nodes = 20;
-    ending_fleet fleet(knobs);
+    crashing_fleet fleet(knobs);
     const uint64_t calls = fleet.cluster.shared.rows.version();
-    let_it_be_held(fleet);
+    quarantine_fatal_request(fleet);
     EXPECT_EQ(rows(fleet), 1U);
-    // Ends and starts of workers write too: two rows for each of three or four workers.
+    // Stops and starts of workers write too: two rows for each of three or four workers.
     EXPECT_LE(fleet.cluster.shared.rows.version() - calls, 12U);
 }
 
-TEST(SharedEvidence, AContentThatBecomesHarmlessIsFoundOutAndItsRowRemoved) {
-    ending_fleet fleet;
-    let_it_be_held(fleet);
+TEST(SharedEvidence, AContentThatBecomesHarmlessIsReleasedAndItsRowRemoved) {
+    crashing_fleet fleet;
+    quarantine_fatal_request(fleet);
     fleet.fatal.clear();
     SeenAnswerPtr answer;
     for (int second = 0; second < 20; ++second) {
@@ -205,9 +205,9 @@
 }
 
 TEST(SharedEvidence, RemovingTheRowReleasesTheContentEverywhere) {
-    ending_fleet fleet;
-    let_it_be_held(fleet);
-    fleet.cluster.put(kQuarantineTable, digest_text(ending_fleet::digest_of(kPath, kFatal)),
+    crashing_fleet fleet;
+    quarantine_fatal_request(fleet);
+    fleet.cluster.put(kQuarantineTable, digest_text(crashing_fleet::digest_of(kPath, kFatal)),
                       std::nullopt);
     fleet.run_for(milliseconds(500));
     for (const std::string node : {"n0", "n1", "n2"}) {
@@ -215,16 +215,16 @@
     }
 }
 
-TEST(SharedEvidence, RowsOfOtherWritersHarmNothing) {
-    ending_fleet fleet;
-    const std::string digest = digest_text(ending_fleet::digest_of(kPath, kFatal));
+TEST(SharedEvidence, MalformedRowsAreIgnored) {
+    crashing_fleet fleet;
+    const std::string digest = digest_text(crashing_fleet::digest_of(kPath, kFatal));
     fleet.cluster.put(kQuarantineTable, "no digest", "1 2\n");
     fleet.cluster.put(kQuarantineTable, std::string("\xff\xfe", 2), "1 2\n");
     fleet.cluster.put(kQuarantineTable, digest,
                       "x y\n1\n-1 5\n99999999999 1\n1 99999999999999999999\n\n\xff 1\n");
     fleet.run_for(seconds(1));
     EXPECT_FALSE(holds(fleet, "n0"));
-    let_it_be_held(fleet);
+    quarantine_fatal_request(fleet);
     for (const std::string node : {"n0", "n1", "n2"}) {
         EXPECT_TRUE(holds(fleet, node)) << node;
     }
--- a/tests/quarantine/turn_keeper_test.cc
+++ b/tests/quarantine/turn_keeper_test.cc
@@ -1,6 +1,6 @@
 /** \file
- * Turns to run a content: one node at a time, for a time, and not before the evidence has settled.
- */
+ * Turns to run a content: held by one node at a time, expiring, and not granted before the
+ * evidence has settled. */
 
 #include <gtest/gtest.h>
 
@@ -19,7 +19,7 @@
     return kStart + after;
 }
 
-TEST(TurnKeeper, GivesOneNodeAfterTheOtherItsTurn) {
+TEST(TurnKeeper, GrantsTheTurnToOneNodeAfterTheOther) {
     turn_keeper keeper;
     EXPECT_TRUE(keeper.ask(kContent, "a", kStart, kStart));
     EXPECT_FALSE(keeper.ask(kContent, "b", kStart, at(milliseconds(10))));
@@ -28,7 +28,7 @@
     EXPECT_FALSE(keeper.ask(kContent, "a", kStart, at(milliseconds(30))));
 }
 
-TEST(TurnKeeper, GivesATurnAgainWhoseAnswerWasLost) {
+TEST(TurnKeeper, GrantsATurnAgainWhenItsAnswerWasLost) {
     turn_keeper keeper;
     EXPECT_TRUE(keeper.ask(kContent, "a", kStart, kStart));
     EXPECT_TRUE(keeper.ask(kContent, "a", kStart, at(milliseconds(10))));
@@ -40,32 +40,32 @@
     EXPECT_TRUE(keeper.ask(kContent + 1, "b", kStart, kStart));
 }
 
-TEST(TurnKeeper, NobodyBeginsBeforeTheEvidenceThatAnyoneKnowsHasSettled) {
+TEST(TurnKeeper, NoNodeStartsBeforeTheEvidenceOfAllNodesHasSettled) {
     turn_keeper keeper;
     const MonotonicTime settled = at(milliseconds(40));
     EXPECT_FALSE(keeper.ask(kContent, "a", settled, kStart));
-    // This one has not heard of it.
+    // This node hasn't received the evidence.
     EXPECT_FALSE(keeper.ask(kContent, "b", kStart, at(milliseconds(39))));
     EXPECT_TRUE(keeper.ask(kContent, "b", kStart, settled));
-    // Its run ends a worker.
+    // Its run crashes a worker.
     const MonotonicTime later = at(milliseconds(140));
     keeper.note_over(kContent, "b", later);
     EXPECT_FALSE(keeper.ask(kContent, "a", settled, at(milliseconds(101))));
     EXPECT_TRUE(keeper.ask(kContent, "a", settled, later));
 }
 
-TEST(TurnKeeper, ATurnLapsesWithoutAWordOfItsEnd) {
+TEST(TurnKeeper, ATurnExpiresWithoutAReportOfItsEnd) {
     const turn_knobs knobs;
     turn_keeper keeper(knobs);
     EXPECT_TRUE(keeper.ask(kContent, "a", kStart, kStart));
-    EXPECT_FALSE(keeper.ask(kContent, "b", kStart, at(knobs.longest_turn)));
-    EXPECT_TRUE(keeper.ask(kContent, "b", kStart, at(knobs.longest_turn + milliseconds(1))));
-    // Told late, it ends no turn of another.
+    EXPECT_FALSE(keeper.ask(kContent, "b", kStart, at(knobs.turn_timeout)));
+    EXPECT_TRUE(keeper.ask(kContent, "b", kStart, at(knobs.turn_timeout + milliseconds(1))));
+    // A late report doesn't end another node's turn.
     keeper.note_over(kContent, "a", kStart);
-    EXPECT_FALSE(keeper.ask(kContent, "c", kStart, at(knobs.longest_turn + milliseconds(2))));
+    EXPECT_FALSE(keeper.ask(kContent, "c", kStart, at(knobs.turn_timeout + milliseconds(2))));
 }
 
-TEST(TurnKeeper, RunsThatBeganBeforeAnyoneAskedAreWaitedFor) {
+TEST(TurnKeeper, NoTurnIsGrantedWhileEarlierRunsAreInProgress) {
     turn_keeper keeper;
     keeper.note_running(kContent, "a", kStart);
     keeper.note_running(kContent, "b", kStart);
@@ -76,15 +76,15 @@
     EXPECT_TRUE(keeper.ask(kContent, "c", kStart, at(milliseconds(30))));
 }
 
-TEST(TurnKeeper, RemembersABoundedNumberOfContents) {
+TEST(TurnKeeper, TracksABoundedNumberOfContents) {
     turn_knobs knobs;
-    knobs.most_contents = 10;
+    knobs.max_contents = 10;
     turn_keeper keeper(knobs);
     for (uint64_t content = 0; content < 100; ++content) {
         EXPECT_EQ(keeper.ask(content, "a", kStart, kStart), content < 10);
     }
     EXPECT_EQ(keeper.size(), 10U);
-    const MonotonicTime later = at(knobs.forgotten_after + milliseconds(1));
+    const MonotonicTime later = at(knobs.idle_timeout + milliseconds(1));
     EXPECT_TRUE(keeper.ask(1000, "a", kStart, later));
     EXPECT_EQ(keeper.size(), 1U);
 }
