--- a/include/chalkshed/failure_recorder.h
+++ b/include/chalkshed/failure_recorder.h
@@ -2,15 +2,14 @@
 #define CHALKSHED_FAILURE_RECORDER_H
 
 /** \file
- * Records in the store that runs of a batch item failed, so that the item's attempts are counted
- * over all its owners.
+ * Records failed runs of batch items in the store, so that the item's attempts are counted over
+ * all owners of its job.
  *
- * A failed run is a fact about the item and not a possession of the job's owner: an owner that has
- * been superseded records it too, and the entry of one node never replaces that of another. Each
- * run has an id of its own, so that a write whose answer was lost may be sent again. Kept in the
- * owner's memory until its next checkpoint, the count began at 0 with each owner: an item with
- * three attempts ran five times over two changes of the owner (RetryBudgetTest).
- */
+ * A failed run counts regardless of who owns the job: an owner that has been superseded records it
+ * too, and the entry of one node never replaces that of another. Each run has its own id, so that
+ * a write whose answer was lost can be retried. A count kept in the owner's memory until its next
+ * checkpoint would restart at 0 with each owner: an item with three attempts ran five times over
+ * two changes of owner (RetryBudgetTest). */
 
 #include <cstdint>
 #include <functional>
@@ -29,41 +28,41 @@
 enum class run_failure {
     /** The worker failed on the item; further attempts may succeed. */
     kFailed,
-    /** The worker says that the item can never be done. */
+    /** The worker reports that the item can never succeed. */
     kImpossible,
 };
 
-/** What the store holds of an item's failed runs. */
+/** The stored failed runs of an item. */
 struct item_failures {
-    /** By the id of the run. */
+    /** Keyed by run id. */
     std::map<uint64_t, run_failure> runs;
-    /** Of the row. */
+    /** Version of the store row. */
     StoreVersion version = 0;
 
     uint32_t failed() const;
     bool impossible() const;
-    /** Whether the item is not to be run any more, on a route that allows so many attempts. */
+    /** Whether the item must not be run again on a route with that many attempts. */
     bool used_up(uint32_t attempts) const {
         return impossible() || failed() >= attempts;
     }
 };
 
 std::string encode_item_failures(const item_failures &failures);
-/** Lines that cannot be read are left out: one run too many harms less than an item never run. */
+/** Skips malformed lines: one run too many is less harmful than an item that never runs. */
 item_failures decode_item_failures(std::string_view value, StoreVersion version);
 
 class failure_recorder {
 public:
     using on_recorded = std::function<void(const item_failures &)>;
 
-    /** \param retry_after A call to the store that failed is repeated after this long, until the
-     * store has answered. All references outlive the recorder. */
+    /** \param retry_after Delay before a failed store call is retried; it is retried until the
+     * store answers. All references outlive the recorder. */
     failure_recorder(WatchedStore &store, Dispatcher &dispatcher, Logger &logger,
                      Duration retry_after);
 
-    /** Adds a run to the failed ones of the item.
-     * \param known What the caller knows of them; it need not be the newest.
-     * \param done Called once the store holds it, with all that it holds of the item then. */
+    /** Records a failed run of the item.
+     * \param known The failed runs that the caller knows; may be outdated.
+     * \param done Called once the store holds the run, with all failed runs of the item. */
     void record(const StoredRowKey &row, uint64_t run, run_failure failure,
                 const item_failures &known, on_recorded done);
 
@@ -75,7 +74,7 @@
         on_recorded done;
     };
     void write(const entry &added, const item_failures &known);
-    void write_later(const entry &added, const item_failures &known, const std::string &reason,
+    void retry_write(const entry &added, const item_failures &known, const std::string &reason,
                      Duration delay);
     void handle_commit(const entry &added, const item_failures &written,
                        const Expected<StoreCommit> &commit);
--- a/src/item_failures/failure_recorder.cc
+++ b/src/item_failures/failure_recorder.cc
@@ -8,22 +8,22 @@
 namespace chalkshed {
 namespace {
 
-constexpr std::string_view kFailedWord = "failed ";
-constexpr std::string_view kImpossibleWord = "impossible ";
+constexpr std::string_view kFailedPrefix = "failed ";
+constexpr std::string_view kImpossiblePrefix = "impossible ";
 
-std::string_view word_of(run_failure failure) {
-    return failure == run_failure::kFailed ? kFailedWord : kImpossibleWord;
+std::string_view prefix_of(run_failure failure) {
+    return failure == run_failure::kFailed ? kFailedPrefix : kImpossiblePrefix;
 }
 
-void read_line(std::string_view line, item_failures &failures) {
+void parse_line(std::string_view line, item_failures &failures) {
     for (const run_failure failure : {run_failure::kFailed, run_failure::kImpossible}) {
-        const std::string_view word = word_of(failure);
-        if (!line.starts_with(word)) {
+        const std::string_view prefix = prefix_of(failure);
+        if (!line.starts_with(prefix)) {
             continue;
         }
         uint64_t run = 0;
         const char *end = line.data() + line.size();
-        const auto parsed = std::from_chars(line.data() + word.size(), end, run);
+        const auto parsed = std::from_chars(line.data() + prefix.size(), end, run);
         if (parsed.ec == std::errc() && parsed.ptr == end) {
             failures.runs[run] = failure;
         }
@@ -44,7 +44,7 @@
 std::string encode_item_failures(const item_failures &failures) {
     std::string value;
     for (const auto &[run, failure] : failures.runs) {
-        value.append(word_of(failure)).append(std::to_string(run)).append("\n");
+        value.append(prefix_of(failure)).append(std::to_string(run)).append("\n");
     }
     return value;
 }
@@ -54,7 +54,7 @@
     failures.version = version;
     while (!value.empty()) {
         const size_t end = value.find('\n');
-        read_line(value.substr(0, end), failures);
+        parse_line(value.substr(0, end), failures);
         value.remove_prefix(end == std::string_view::npos ? value.size() : end + 1);
     }
     return failures;
@@ -81,7 +81,7 @@
                   }));
 }
 
-void failure_recorder::write_later(const entry &added, const item_failures &known,
+void failure_recorder::retry_write(const entry &added, const item_failures &known,
                                    const std::string &reason, Duration delay) {
     logger_.write(LogLevel::kInfo, "failed_run_not_recorded",
                   {{"item", added.row.key}, {"reason", reason}});
@@ -95,7 +95,7 @@
     before.runs.erase(added.run);
     if (!commit) {
         // The answer to the next write shows whether this one was applied.
-        write_later(added, before, commit.error().message,
+        retry_write(added, before, commit.error().message,
                     commit.error().retry_after.value_or(Duration(0)));
         return;
     }
@@ -106,13 +106,13 @@
         return;
     }
     if (commit->current.empty()) {
-        write_later(added, before, "the store did not tell the row as it stands", Duration(0));
+        retry_write(added, before, "the store did not return the current row", Duration(0));
         return;
     }
     const StoredRow &current = commit->current.front();
     const item_failures now = decode_item_failures(current.value, current.version);
     if (now.runs.contains(added.run)) {
-        added.done(now); // an earlier send of this very entry
+        added.done(now); // an earlier attempt at this write was applied
         return;
     }
     write(added, now);
--- a/tests/item_failures/failure_recorder_test.cc
+++ b/tests/item_failures/failure_recorder_test.cc
@@ -29,36 +29,36 @@
   MemoryWatchedStore store{shared, clock, dispatcher};
   failure_recorder recorder{store, dispatcher, logger, milliseconds(250)};
   size_t done = 0;
-  item_failures told;
+  item_failures recorded;
   failure_recorder::on_recorded on_recorded = [this](const item_failures& failures) {
     ++done;
-    told = failures;
+    recorded = failures;
   };
 };
 
-TEST_F(FailureRecorderTest, RunsOfTwoNodesThatKnowNothingOfEachOtherBothCount) {
+TEST_F(FailureRecorderTest, RunsRecordedConcurrentlyByTwoNodesBothCount) {
   recorder.record(kRow, 1, run_failure::kFailed, {}, on_recorded);
   recorder.record(kRow, 2, run_failure::kFailed, {}, on_recorded);
   clock.run_for(milliseconds(100));
   EXPECT_EQ(done, 2U);
   EXPECT_EQ(stored().failed(), 2U);
-  EXPECT_EQ(told.failed(), 2U) << "the second learns of the first";
-  EXPECT_EQ(told.version, stored().version);
+  EXPECT_EQ(recorded.failed(), 2U) << "the second write returns the first run too";
+  EXPECT_EQ(recorded.version, stored().version);
 }
 
 TEST_F(FailureRecorderTest, ARunWhoseAnswerWasLostCountsOnce) {
   shared.trouble.lose_commits = true;
   recorder.record(kRow, 1, run_failure::kFailed, {}, on_recorded);
   clock.run_for(milliseconds(2100));
-  EXPECT_EQ(done, 0U) << "it is not known yet";
+  EXPECT_EQ(done, 0U) << "the outcome of the write is not known yet";
   shared.trouble.lose_commits = false;
   clock.run_for(seconds(1));
   EXPECT_EQ(done, 1U);
   EXPECT_EQ(stored().failed(), 1U);
 }
 
-// The store does a write seconds after it has lost its answer: it must not replace what came since.
-TEST_F(FailureRecorderTest, AWriteThatIsDoneLateReplacesNothing) {
+// The store applies a write seconds after its answer was lost: it must not overwrite newer entries.
+TEST_F(FailureRecorderTest, ADelayedWriteOverwritesNothing) {
   shared.trouble.lose_commits = true;
   shared.trouble.late_commits = seconds(4);
   recorder.record(kRow, 1, run_failure::kFailed, {}, on_recorded);
@@ -71,7 +71,7 @@
   EXPECT_TRUE(stored().impossible());
 }
 
-TEST_F(FailureRecorderTest, AStoreThatIsDownIsAskedUntilItAnswers) {
+TEST_F(FailureRecorderTest, RetriesUntilTheStoreAnswers) {
   shared.trouble.down = true;
   recorder.record(kRow, 1, run_failure::kFailed, {}, on_recorded);
   clock.run_for(seconds(20));
@@ -81,7 +81,7 @@
   EXPECT_EQ(done, 1U);
 }
 
-TEST(ItemFailuresTest, SurviveTheStoreAndNoise) {
+TEST(ItemFailuresTest, RoundTripAndSkipMalformedLines) {
   item_failures failures;
   failures.runs = {{1, run_failure::kFailed}, {UINT64_MAX, run_failure::kImpossible}};
   const std::string value = encode_item_failures(failures);
@@ -90,7 +90,7 @@
   EXPECT_EQ(decode_item_failures("failed x\nfailed 5\nfailed 6 \n\nother 7", 1).runs.size(), 1U);
 }
 
-TEST(ItemFailuresTest, AttemptsAreUsedUpByAllFailedRunsTogetherOrByOneThatSaysImpossible) {
+TEST(ItemFailuresTest, AttemptsAreUsedUpByAllFailedRunsTogetherOrByOneImpossibleRun) {
   item_failures failures;
   EXPECT_FALSE(failures.used_up(1));
   failures.runs = {{1, run_failure::kFailed}, {2, run_failure::kFailed}};
