--- a/include/chalkshed/worker_outcomes.h
+++ b/include/chalkshed/worker_outcomes.h
@@ -2,13 +2,12 @@
 #define CHALKSHED_WORKER_OUTCOMES_H
 
 /** \file
- * How requests ended lately at one worker: at this node's own hands, and as its peers tell. From it
- * follows who may be sent there next.
+ * Recent request outcomes at one worker, as seen by this node and as reported by its peers. They
+ * decide which requests may be sent to the worker next.
  *
- * A worker can fail every request at once and yet look idle, so that it draws more of them. One
- * node alone learns too slowly: each of many nodes would lose requests of its own before it stays
- * away.
- */
+ * A worker can fail every request immediately and then look idle, so that it attracts more of
+ * them. A single node learns of it too slowly: each of many nodes would lose its own requests
+ * before it avoids the worker. */
 
 #include <cstdint>
 
@@ -17,17 +16,17 @@
 namespace chalkshed {
 
 struct outcome_knobs {
-    /** A worker that failed takes nothing for this long, doubled with each further failure in a
-     * row, up to the longest. */
-    Duration pause = std::chrono::milliseconds(250);
+    /** After a failure, a worker is sent nothing for this long; the time doubles with each
+     * consecutive failure, up to longest_pause. */
+    Duration backoff = std::chrono::milliseconds(250);
     Duration longest_pause = std::chrono::seconds(4);
-    /** For this long after a failure that no success has followed, a worker takes only work that
-     * may be run again elsewhere. */
-    Duration suspicion = std::chrono::seconds(8);
+    /** For this long after a failure without a later success, a worker is sent only requests that
+     * can be retried elsewhere. */
+    Duration suspicion_period = std::chrono::seconds(8);
 };
 
-/** The newest outcomes that one node, or several together, have seen at a worker. The epoch of the
- * clock stands for "never". */
+/** Latest outcomes at a worker, as seen by one or several nodes. The epoch of the clock means
+ * "never". */
 struct outcome_times {
     MonotonicTime failed{};
     MonotonicTime succeeded{};
@@ -40,31 +39,31 @@
     explicit worker_outcomes(const outcome_knobs &knobs = {});
 
     void note_success(MonotonicTime now);
-    /** \param sent When the failed request was sent. Requests that were under way together count
-     * as one failure: they say no more than the first of them. */
+    /** \param sent When the failed request was sent. Failures of concurrent requests count as one,
+     * since they have the same cause. */
     void note_failure(MonotonicTime sent, MonotonicTime now);
-    /** Takes in what a peer has seen. What this node has seen since outweighs it. */
-    void merge(const outcome_times &told);
+    /** Merges outcomes that a peer has seen. Later outcomes seen by this node take precedence. */
+    void merge(const outcome_times &reported);
 
-    /** Whether nothing should be sent there for now. */
+    /** Whether nothing should be sent to the worker for now. */
     bool paused(MonotonicTime now) const;
-    /** Whether only work that may be run again should be sent there. */
+    /** Whether only requests that can be retried elsewhere should be sent to the worker. */
     bool suspect(MonotonicTime now) const;
 
-    /** What this node has seen itself. */
+    /** Outcomes that this node has seen itself. */
     const outcome_times &own() const {
         return own_;
     }
-    /** Whether peers should hear of it: a failure of late, or a success that clears one. */
+    /** Whether to report the outcomes to peers: a recent failure, or a success that clears one. */
     bool worth_telling(MonotonicTime now) const;
 
 private:
-    Duration pause_after(uint32_t failures) const;
+    Duration backoff_after(uint32_t failures) const;
     bool recent(MonotonicTime failed, MonotonicTime now) const;
 
     outcome_knobs knobs_;
     outcome_times own_;
-    outcome_times told_;
+    outcome_times reported_;
 };
 
 } // namespace chalkshed
--- a/tests/outcomes/worker_outcomes_test.cc
+++ b/tests/outcomes/worker_outcomes_test.cc
@@ -21,13 +21,13 @@
     worker_outcomes there;
 };
 
-TEST_F(WorkerOutcomesTest, AFreshWorkerTakesEverything) {
+TEST_F(WorkerOutcomesTest, ANewWorkerIsSentEverything) {
     EXPECT_FALSE(here.paused(now));
     EXPECT_FALSE(here.suspect(now));
     EXPECT_FALSE(here.worth_telling(now));
 }
 
-TEST_F(WorkerOutcomesTest, PausesGrowWithEachFailureInARowAndEndWithASuccess) {
+TEST_F(WorkerOutcomesTest, BackoffGrowsWithConsecutiveFailuresAndEndsWithASuccess) {
     fail(here);
     EXPECT_TRUE(here.paused(now + milliseconds(249)));
     EXPECT_FALSE(here.paused(now + milliseconds(250)));
@@ -43,7 +43,7 @@
     EXPECT_FALSE(here.paused(now));
 }
 
-TEST_F(WorkerOutcomesTest, RequestsThatWereUnderWayTogetherAreOneFailure) {
+TEST_F(WorkerOutcomesTest, FailuresOfConcurrentRequestsCountOnce) {
     const MonotonicTime sent = now;
     now += milliseconds(5);
     here.note_failure(sent, now);
@@ -52,7 +52,7 @@
     EXPECT_FALSE(here.paused(now + milliseconds(250)));
 }
 
-TEST_F(WorkerOutcomesTest, AfterThePauseAWorkerIsSuspectUntilASuccess) {
+TEST_F(WorkerOutcomesTest, AfterTheBackoffAWorkerIsSuspectUntilASuccess) {
     fail(here);
     now += seconds(5);
     EXPECT_FALSE(here.paused(now));
@@ -61,22 +61,22 @@
     EXPECT_FALSE(here.suspect(now));
 }
 
-TEST_F(WorkerOutcomesTest, SuspicionEndsWithTime) {
+TEST_F(WorkerOutcomesTest, SuspicionExpires) {
     fail(here);
     EXPECT_TRUE(here.suspect(now + milliseconds(7999)));
     EXPECT_FALSE(here.suspect(now + seconds(8)));
 }
 
-TEST_F(WorkerOutcomesTest, WhatAPeerSawFailIsAvoidedHereToo) {
+TEST_F(WorkerOutcomesTest, AWorkerThatFailedAtAPeerIsAvoidedHereToo) {
     fail(there);
     EXPECT_TRUE(there.worth_telling(now));
     here.merge(there.own());
     EXPECT_TRUE(here.paused(now));
     EXPECT_TRUE(here.suspect(now));
-    EXPECT_FALSE(here.worth_telling(now)) << "only its own sight is told";
+    EXPECT_FALSE(here.worth_telling(now)) << "a node reports only its own outcomes";
 }
 
-TEST_F(WorkerOutcomesTest, AStreakGoesOnAtAnotherNode) {
+TEST_F(WorkerOutcomesTest, ASeriesOfFailuresContinuesAtAnotherNode) {
     fail(there);
     here.merge(there.own());
     now += milliseconds(300);
@@ -96,8 +96,9 @@
     EXPECT_FALSE(there.suspect(now));
 }
 
-// A worker can be ill for some callers only: what others see must not send requests into it.
-TEST_F(WorkerOutcomesTest, AnotherNodesSuccessDoesNotShortenTheOwnPause) {
+// A worker can fail for some callers only: successes at other nodes must not cause requests to be
+// sent to it.
+TEST_F(WorkerOutcomesTest, AnotherNodesSuccessDoesNotShortenTheLocalBackoff) {
     fail(here);
     now += milliseconds(10);
     there.note_success(now);
@@ -114,7 +115,7 @@
     EXPECT_FALSE(here.suspect(now));
 }
 
-TEST_F(WorkerOutcomesTest, WhatArrivesTwiceOrInAnotherOrderChangesNothing) {
+TEST_F(WorkerOutcomesTest, DuplicateAndReorderedReportsChangeNothing) {
     fail(there);
     const outcome_times first = there.own();
     now += milliseconds(300);
