--- a/src/cold_start/cold_start_limit.cc
+++ b/src/cold_start/cold_start_limit.cc
@@ -4,14 +4,14 @@
 
 namespace chalkshed {
 
-/** In any second a sender sends one request at once and then at its rate. */
-cold_start_limit::division cold_start_limit::divide(const cold_start &service) const {
+/** In any second, a sender sends one request at once and the others at its rate. */
+cold_start_limit::rate_division cold_start_limit::divide(const cold_start &service) const {
     const double allowed = service.requests_per_second * knobs_.overrun + knobs_.slack;
-    const double planned = allowed * knobs_.planned_share;
-    // Each sender should have at least one request a second beside the first.
-    constexpr double kLeastOfSender = 2.0;
-    const auto most = static_cast<size_t>(planned / kLeastOfSender);
-    const size_t senders = std::clamp<size_t>(most, 1, knobs_.senders);
+    const double planned = allowed * knobs_.planned_fraction;
+    // Each sender should have at least one request per second besides the first.
+    constexpr double kMinBudgetPerSender = 2.0;
+    const auto max_senders = static_cast<size_t>(planned / kMinBudgetPerSender);
+    const size_t senders = std::clamp<size_t>(max_senders, 1, knobs_.senders);
     const auto count = static_cast<double>(senders);
     const double rate = std::min(planned / count - 1.0, service.requests_per_second / count);
     if (rate <= 0) {
@@ -35,7 +35,7 @@
         return;
     }
     if (state.until <= now) {
-        // What was sent before this node heard of it counts too.
+        // Accounts for requests sent before this node knew that the worker is cold.
         note_sent(state, service, now);
         draw_sender(state, worker, service, now);
     }
--- a/tests/cold_start/cold_start_limit_test.cc
+++ b/tests/cold_start/cold_start_limit_test.cc
@@ -19,17 +19,17 @@
 
 constexpr cold_start kService{5.4, seconds(3)};
 constexpr cold_start_knobs kAgreed{.overrun = 1.5, .slack = 5.0};
-/** What a worker may be sent in any second: 5.4 x 1.5 + 5. */
-constexpr size_t kMostInASecond = 13;
+/** Limit of requests to a worker in any second: 5.4 x 1.5 + 5. */
+constexpr size_t kMaxPerSecond = 13;
 
-/** Long before any worker of the tests turns cold. */
+/** Long before any worker in the tests becomes cold. */
 constexpr MonotonicTime kListed{seconds(10)};
 
-cold_start_limit::own_rank always(size_t rank) {
+cold_start_limit::own_rank fixed_rank(size_t rank) {
     return [rank](const std::string & /*worker*/) { return std::optional(rank); };
 }
 
-/** Requests that a node which always has some sends to the worker within that time. */
+/** Times at which a node that always has pending requests sends them to the worker. */
 std::vector<MonotonicTime> send_all(const cold_start_limit &limit, cold_state &state,
                                     MonotonicTime from, Duration time) {
     std::vector<MonotonicTime> sent;
@@ -43,9 +43,9 @@
     return sent;
 }
 
-TEST(ColdStartLimitTest, ASenderSendsAtItsPartOfTheRate) {
+TEST(ColdStartLimitTest, ASenderSendsAtItsShareOfTheRate) {
     cold_start_limit limit(kAgreed);
-    limit.set_own_rank(always(1));
+    limit.set_own_rank(fixed_rank(1));
     limit.note_nodes_listed(kListed);
     cold_state state;
     const MonotonicTime start{seconds(100)};
@@ -55,9 +55,9 @@
     EXPECT_LE(sent, 7U);
 }
 
-TEST(ColdStartLimitTest, OthersSendNothingUntilItIsWarm) {
+TEST(ColdStartLimitTest, OtherNodesSendNothingUntilTheWorkerIsWarm) {
     cold_start_limit limit(kAgreed);
-    limit.set_own_rank(always(2));
+    limit.set_own_rank(fixed_rank(2));
     limit.note_nodes_listed(kListed);
     cold_state state;
     const MonotonicTime start{seconds(100)};
@@ -80,7 +80,7 @@
     EXPECT_FALSE(cold_start_limit::limited(state, {}, now));
 }
 
-TEST(ColdStartLimitTest, AnOlderWordMakesNoWorkerWarm) {
+TEST(ColdStartLimitTest, AnOlderRecordDoesNotShortenTheColdTime) {
     const cold_start_limit limit(kAgreed);
     cold_state state;
     const MonotonicTime now{seconds(100)};
@@ -90,24 +90,24 @@
     EXPECT_TRUE(cold_start_limit::limited(state, kService, now + milliseconds(2900)));
 }
 
-TEST(ColdStartLimitTest, ATinyRateStillHoldsForAllTogether) {
+TEST(ColdStartLimitTest, ATinyRateAppliesToAllNodesTogether) {
     cold_start_limit limit({.overrun = 1.0, .slack = 0.0});
-    limit.set_own_rank(always(0));
+    limit.set_own_rank(fixed_rank(0));
     limit.note_nodes_listed(kListed);
     const cold_start tiny{1.0, seconds(3)};
     cold_state state;
     limit.note_cold(state, "w", tiny, seconds(3), MonotonicTime{seconds(100)});
     limit.note_sent(state, tiny, MonotonicTime{seconds(100)});
-    // Half of one request a second leaves none to be sent at once.
+    // Half of one request per second leaves no burst.
     limit.draw_sender(state, "w", tiny, MonotonicTime{seconds(100)});
     EXPECT_FALSE(state.sender);
 }
 
-/** Hollow nodes that all have requests at every moment. Nodes are announced, and views of the
- * announcements lag by up to two seconds. */
-class Fleet {
+/** Simulated nodes that always have pending requests. Views of the announced nodes lag by up to two
+ * seconds. */
+class SimulatedNodes {
 public:
-    Fleet(size_t nodes, uint64_t seed) : random(seed) {
+    SimulatedNodes(size_t nodes, uint64_t seed) : random(seed) {
         for (size_t index = 0; index < nodes; ++index) {
             add_node(MonotonicTime{});
         }
@@ -144,7 +144,7 @@
     std::deque<cold_state> states;
 };
 
-size_t most_in_a_second(const std::vector<MonotonicTime> &sent) {
+size_t max_in_any_second(const std::vector<MonotonicTime> &sent) {
     size_t most = 0;
     for (size_t begin = 0, end = 0; end < sent.size(); ++end) {
         while (sent[end] - sent[begin] >= seconds(1)) {
@@ -155,10 +155,11 @@
     return most;
 }
 
-/** \return The most that one worker was sent in any second by that many nodes, of which half as
- * many more are added at one moment, while each hears of the cold worker at a time of its own. */
-size_t most_sent(size_t nodes, uint64_t seed) {
-    Fleet fleet(nodes, seed);
+/** \return The maximum number of requests that one worker received in any second from that many
+ * nodes, when half as many more are added at once and each node learns at a different time that
+ * the worker is cold. */
+size_t max_sent_per_second(size_t nodes, uint64_t seed) {
+    SimulatedNodes fleet(nodes, seed);
     const std::string worker = "w" + std::to_string(seed);
     const MonotonicTime added = fleet.now + milliseconds(fleet.random.next() % 3000);
     std::vector<MonotonicTime> hears;
@@ -192,22 +193,22 @@
             }
         }
     }
-    return most_in_a_second(sent);
+    return max_in_any_second(sent);
 }
 
-TEST(ColdStartFleetTest, TheLimitHoldsForAllNodesTogetherThoughTheirViewsDiffer) {
+TEST(ColdStartFleetTest, TheLimitAppliesToAllNodesTogetherDespiteDifferentViews) {
     constexpr uint64_t kSeeds = 200;
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-        const size_t most = most_sent(73, seed);
-        EXPECT_LE(most, kMostInASecond) << seed;
-        EXPECT_GT(most, 0U) << seed << ": nobody sends anything";
+        const size_t most = max_sent_per_second(73, seed);
+        EXPECT_LE(most, kMaxPerSecond) << seed;
+        EXPECT_GT(most, 0U) << seed << ": no requests were sent";
     }
 }
 
 TEST(ColdStartFleetTest, TheLimitHoldsAtHundredsOfNodes) {
     constexpr uint64_t kSeeds = 20;
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-        EXPECT_LE(most_sent(300, seed), kMostInASecond) << seed;
+        EXPECT_LE(max_sent_per_second(300, seed), kMaxPerSecond) << seed;
     }
 }
 
@@ -245,9 +246,9 @@
     WorkerSet workers{clock, random, "zone-a", knobs()};
 };
 
-TEST_F(ColdWorkerTest, AColdWorkerTakesNothingFromANodeThatIsNoneOfItsSenders) {
+TEST_F(ColdWorkerTest, AColdWorkerIsSentNothingByNodesThatAreNotItsSenders) {
     workers.set_cold_starts({{"engines", kService}});
-    workers.set_own_rank(always(5));
+    workers.set_own_rank(fixed_rank(5));
     list("cold", seconds(3));
     EXPECT_EQ(take(), nullptr);
     EXPECT_EQ(take(WorkClass::kOnline, true), nullptr);
@@ -255,9 +256,9 @@
     EXPECT_NE(take(), nullptr);
 }
 
-TEST_F(ColdWorkerTest, AWarmWorkerWithRoomGoesFirst) {
+TEST_F(ColdWorkerTest, AWarmWorkerWithFreeSlotsIsPreferred) {
     workers.set_cold_starts({{"engines", kService}});
-    workers.set_own_rank(always(0));
+    workers.set_own_rank(fixed_rank(0));
     list("cold", seconds(30));
     list("warm", Duration(0));
     clock.run_for(seconds(1));
@@ -269,9 +270,9 @@
     EXPECT_EQ(take()->worker().record.incarnation, "cold");
 }
 
-TEST_F(ColdWorkerTest, TheConfigurationMayComeAfterTheWorkers) {
+TEST_F(ColdWorkerTest, TheConfigurationMayArriveAfterTheWorkers) {
     list("cold", seconds(3));
-    workers.set_own_rank(always(5));
+    workers.set_own_rank(fixed_rank(5));
     EXPECT_NE(take(), nullptr);
     workers.set_cold_starts({{"engines", kService}});
     EXPECT_EQ(take(), nullptr);
@@ -279,9 +280,9 @@
     EXPECT_NE(take(), nullptr);
 }
 
-TEST_F(ColdWorkerTest, PlacesOfColdWorkersAreNoRoomForBatch) {
+TEST_F(ColdWorkerTest, SlotsOfColdWorkersAreNotCountedForBatch) {
     workers.set_cold_starts({{"engines", kService}});
-    workers.set_own_rank(always(0));
+    workers.set_own_rank(fixed_rank(0));
     list("warm", Duration(0));
     for (int index = 0; index < 9; ++index) {
         list("cold-" + std::to_string(index), seconds(30));
@@ -289,9 +290,9 @@
     EXPECT_EQ(workers.free_places("engines"), 8U);
 }
 
-TEST_F(ColdWorkerTest, AWorkerThatTurnsColdAgainIsLimitedAgain) {
+TEST_F(ColdWorkerTest, AWorkerThatBecomesColdAgainIsLimitedAgain) {
     workers.set_cold_starts({{"engines", kService}});
-    workers.set_own_rank(always(5));
+    workers.set_own_rank(fixed_rank(5));
     list("w", Duration(0));
     EXPECT_NE(take(), nullptr);
     list("w", seconds(3));
