--- a/include/chalkshed/evacuated_zones.h
+++ b/include/chalkshed/evacuated_zones.h
@@ -2,12 +2,12 @@
 #define CHALKSHED_EVACUATED_ZONES_H
 
 /** \file
- * Zones that the operator has evacuated: nothing new is sent to their workers until they are
+ * Zones that the operator has evacuated: their workers get no new requests until they are
  * readmitted.
  *
- * Each evacuation is a row of the table that holds the configuration. It therefore arrives by the
- * same ways: the node follows the table, peers tell how new their rows are, and a node that the
- * store turns away asks a peer for the rows. */
+ * Each evacuation is a row of the configuration table, so it is distributed in the same ways:
+ * nodes watch the table, peers report the version of their rows, and a node that the store rejects
+ * gets the rows from a peer. */
 
 #include <functional>
 #include <set>
@@ -21,11 +21,11 @@
 
 namespace chalkshed {
 
-/** How evacuations are written in the operator's table. */
+/** Format of evacuations in the operator's table. */
 struct evacuation_rows {
-    /** The rest of the key is the zone. */
+    /** The key is this prefix followed by the zone. */
     std::string key_prefix;
-    /** \return An error if the value is none of an evacuation; such a row changes nothing. */
+    /** \return An error if the value isn't a valid evacuation; such a row is ignored. */
     std::function<Expected<std::monostate>(std::string_view value)> check;
 };
 
@@ -35,7 +35,7 @@
     evacuated_zones(Logger &logger, WorkerSet &workers, evacuation_rows rows)
         : logger_(logger), workers_(workers), rows_(std::move(rows)) {}
 
-    /** Rows with other keys are left aside. A zone without workers is no error. */
+    /** Ignores rows with other keys. A zone without workers is not an error. */
     void on_row(const StoredRow &row) override;
 
 private:
--- a/src/evacuation/evacuated_zones.cc
+++ b/src/evacuation/evacuated_zones.cc
@@ -15,13 +15,13 @@
             {{"zone", zone}, {"store_version", version}, {"workers", std::to_string(workers)}});
         return;
     }
-    const Expected<std::monostate> readable = rows_.check(row.value);
-    if (!readable) {
+    const Expected<std::monostate> valid = rows_.check(row.value);
+    if (!valid) {
         logger_.write(LogLevel::kError, "evacuation_rejected",
                       {{"zone", zone},
                        {"store_version", version},
-                       {"reason", readable.error().message},
-                       {"remedy", readable.error().remedy}});
+                       {"reason", valid.error().message},
+                       {"remedy", valid.error().remedy}});
         return;
     }
     const size_t workers = workers_.evacuate(zone);
--- a/tests/evacuation/evacuation_test.cc
+++ b/tests/evacuation/evacuation_test.cc
@@ -1,5 +1,5 @@
-// Nothing new is sent to the workers of a zone that the operator has evacuated, by any node and in
-// any way, until the zone is readmitted.
+// No node sends anything new, on any path, to workers of a zone that the operator has evacuated,
+// until the zone is readmitted.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -21,7 +21,7 @@
         cluster.clock.run_for(milliseconds(50));
     }
 
-    /** The zone's workers stand at 10.2.ZONE.INDEX. */
+    /** Worker addresses are 10.2.ZONE.INDEX. */
     void list_worker(const std::string &zone, size_t index, double cold_left_ms = 0) {
         const std::string address = "10.2." + zone.substr(5) + "." + std::to_string(index) + ":80";
         const nlohmann::json worker = {
@@ -43,7 +43,7 @@
             cluster.workers.calls.begin(), cluster.workers.calls.end(),
             [&](const ScriptedCall &call) { return call.worker.ip.starts_with(prefix); }));
     }
-    /** Sends requests to n0 and lets the clock run until each has been sent or given up. */
+    /** Sends requests to n0 and runs the clock until each has been sent or has failed. */
     void send_requests(size_t count) {
         for (size_t index = 0; index < count; ++index) {
             seen.push_back(cluster.request("/plain/x", "r" + std::to_string(++requests)));
@@ -56,14 +56,14 @@
     size_t requests = 0;
 };
 
-TEST_F(EvacuationTest, NothingIsSentThereThoughAllOthersAreFull) {
+TEST_F(EvacuationTest, NothingIsSentThereEvenIfAllOtherWorkersAreFull) {
     evacuate("zone-a");
     send_requests(12);
     EXPECT_EQ(calls_to("zone-a"), 0U);
     EXPECT_EQ(calls_to("zone-b"), 12U);
 }
 
-TEST_F(EvacuationTest, ARequestThatFailsElsewhereIsNotSentAgainThere) {
+TEST_F(EvacuationTest, ARequestThatFailsElsewhereIsNotRetriedThere) {
     evacuate("zone-a");
     send_requests(1);
     cluster.workers.calls.back().fail(Ran::kUnknown);
@@ -109,8 +109,9 @@
     EXPECT_EQ(calls_to("zone-b"), 1U);
 }
 
-// Records also vanish while the store is down, and the last known workers then serve.
-TEST_F(EvacuationTest, AnEvacuatedZoneIsNoLastResort) {
+// When worker records disappear, as they do while the store is down, the last known workers keep
+// serving; those of an evacuated zone must not.
+TEST_F(EvacuationTest, AnEvacuatedZoneIsNotUsedAsAFallback) {
     evacuate("zone-a");
     for (const char *worker : {"i-zone-a-0", "i-zone-a-1", "i-zone-b-0", "i-zone-b-1"}) {
         cluster.put("servers", worker, std::nullopt);
@@ -121,7 +122,7 @@
     EXPECT_EQ(calls_to("zone-b"), 3U);
 }
 
-TEST_F(EvacuationTest, ANodeThatTheStoreTurnsAwayHearsOfItFromItsPeers) {
+TEST_F(EvacuationTest, ANodeWithoutTheStoreLearnsOfItFromItsPeers) {
     cluster.nodes.at("n0")->store.set_cut(true);
     cluster.put("op", "evacuate/zone-a", "{}");
     cluster.clock.run_for(seconds(2));
@@ -133,14 +134,14 @@
     EXPECT_GT(calls_to("zone-a"), 0U);
 }
 
-TEST_F(EvacuationTest, ItHoldsAfterARestartAndWhereTheHistoryIsLost) {
+TEST_F(EvacuationTest, ItSurvivesARestartAndALostHistory) {
     evacuate("zone-a");
     cluster.kill_node("n0");
     cluster.start_node("n0");
     cluster.clock.run_for(milliseconds(500));
     send_requests(8);
     EXPECT_EQ(calls_to("zone-a"), 0U);
-    // The removal is in no history any more; the list shows that the row is gone.
+    // The removal is no longer in the history; the listing shows that the row is gone.
     cluster.shared.trouble.hold_changes = true;
     cluster.put("op", "evacuate/zone-a", std::nullopt);
     cluster.shared.rows.drop_history();
@@ -150,7 +151,7 @@
     EXPECT_GT(calls_to("zone-a"), 0U);
 }
 
-TEST_F(EvacuationTest, ARowThatCannotBeReadChangesNothing) {
+TEST_F(EvacuationTest, AMalformedRowIsIgnored) {
     evacuate("zone-a", "not JSON");
     send_requests(8);
     EXPECT_EQ(calls_to("zone-a"), 4U);
@@ -161,14 +162,15 @@
     EXPECT_EQ(calls_to("zone-b"), before);
 }
 
-TEST_F(EvacuationTest, AZoneThatNobodyKnowsIsNoError) {
+TEST_F(EvacuationTest, AnUnknownZoneIsNotAnError) {
     evacuate("nowhere");
     readmit("nowhere");
     send_requests(8);
     EXPECT_EQ(cluster.workers.calls.size(), 8U);
 }
 
-// Its workers may have turned cold, and the records that say so may come after the readmission.
+// The workers may have become cold, and their updated records may arrive only after the
+// readmission.
 TEST_F(EvacuationTest, AReadmittedZoneIsWarmedUpSlowlyWhereWorkersStartCold) {
     cluster.write_configuration(2, [](nlohmann::json &configuration) {
         configuration["services"][0]["cold_per_s"] = 5.0;
@@ -183,8 +185,9 @@
     EXPECT_GE(calls_to("zone-a"), 4U);
 }
 
-/** A second after the last change of an evacuation no node sends there, whatever else goes on. */
-RC_GTEST_PROP(EvacuationProperty, HoldsAtEveryNodeThatIsInTouch, ()) {
+/** Three seconds after the last step, no connected node sends to an evacuated zone, whatever other
+ * failures occur. */
+RC_GTEST_PROP(EvacuationProperty, AppliesAtEveryConnectedNode, ()) {
     ServingCluster cluster{4, 0};
     for (const std::string zone : {"a", "b", "c"}) {
         const nlohmann::json worker = {{"service", "engines"},
@@ -213,7 +216,7 @@
             cluster.start_node(node);
             break;
         case 3:
-            // One at most, so that its peers know what it misses.
+            // At most one node is cut off, so that its peers know what it misses.
             for (auto &[name, entry] : cluster.nodes) {
                 entry->store.set_cut(name == node);
             }
@@ -228,7 +231,7 @@
     for (auto &[name, entry] : cluster.nodes) {
         const RouteTablePtr table = entry->node.routes();
         if (!table || entry->node.not_ready_reason() != nullptr) {
-            continue; // it started cut off from the store and takes no callers
+            continue; // it started without access to the store and accepts no callers
         }
         cluster.workers.calls.clear();
         for (int index = 0; index < 6; ++index) {
