--- a/include/chalkshed/load_digest.h
+++ b/include/chalkshed/load_digest.h
@@ -2,11 +2,10 @@
 #define CHALKSHED_LOAD_DIGEST_H
 
 /** \file
- * The datagram by which a relay reports the load that many nodes together have put on the workers.
+ * The datagram by which a relay reports the combined load of many nodes on the workers.
  *
- * A digest is absolute: it replaces what an earlier one said of the same range of workers. Lost,
- * repeated or reordered datagrams therefore leave nothing wrong behind.
- */
+ * A digest is absolute: it replaces what an earlier one reported for the same range of workers.
+ * Lost, repeated or reordered datagrams therefore leave no lasting error. */
 
 #include <cstdint>
 #include <optional>
@@ -19,8 +18,8 @@
 
 namespace chalkshed {
 
-/** Prompt tokens are counted in units of this many: 16 bits then hold a million between two
- * digests, and a prompt shorter than a unit is read within a millisecond. */
+/** Unit in which prompt tokens are counted: 16 bits can then hold a million tokens between two
+ * digests, and a prompt shorter than a unit is processed within a millisecond. */
 constexpr uint32_t kPromptUnit = 16;
 
 struct digest_entry {
@@ -28,36 +27,37 @@
     uint32_t worker = 0;
     uint8_t online = 0;
     uint8_t batch = 0;
-    /** Prompt tokens sent to the worker so far, in units; wraps. */
+    /** Prompt tokens sent to the worker so far, in units of kPromptUnit; wraps around. */
     uint16_t prompt_units = 0;
 };
 
 struct load_digest {
-    /** Of the relay. */
+    /** Session id of the relay. */
     std::string session;
-    /** Grows with every digest of the session. */
+    /** Increases with every digest of the session. */
     uint64_t sequence = 0;
-    /** Holds the load of the relay's own zone, for relays of other zones. Otherwise it holds the
-     * load of all nodes except the receiver. */
+    /** Whether this is the load of the relay's own zone, for relays of other zones. Otherwise it is
+     * the load of all nodes except the receiver. */
     bool zone_sum = false;
-    /** The workers that the entries cover; a worker in this range without an entry has no load. */
+    /** Range of workers that the entries cover; a worker in it without an entry has no load. */
     uint32_t first = 0;
     uint32_t last = UINT32_MAX;
-    /** In rising order of the workers. */
+    /** Sorted by worker. */
     std::vector<digest_entry> entries;
-    /** Hashes of the sessions that the relay takes for gone; nothing: not said in this datagram. */
+    /** Hashes of the sessions that the relay considers lapsed; std::nullopt: not included in this
+     * datagram. */
     std::optional<std::vector<uint64_t>> lapsed;
-    /** Newest version of the store that the relay has seen. */
+    /** Newest store version that the relay has seen. */
     StoreVersion store_version = 0;
     KnownVersions known;
 };
 
 std::string encode_load_digest(const load_digest &digest);
-/** \return Nothing when the bytes form no digest. */
+/** \return std::nullopt for a malformed digest. */
 std::optional<load_digest> decode_load_digest(std::string_view datagram);
 
-/** Splits a digest of all workers into digests that fit into a datagram each. */
-std::vector<load_digest> split_digest(load_digest whole, size_t most_entries);
+/** Splits a digest of all workers into digests that each fit into a datagram. */
+std::vector<load_digest> split_digest(load_digest whole, size_t max_entries);
 
 } // namespace chalkshed
 
--- a/include/chalkshed/load_relay.h
+++ b/include/chalkshed/load_relay.h
@@ -2,21 +2,20 @@
 #define CHALKSHED_LOAD_RELAY_H
 
 /** \file
- * How nodes learn of each other's load on the workers where they are many.
+ * Distributes the load of each node on the workers to all other nodes in large clusters.
  *
- * If every node reported to every other, each would spend its share of the processor on it at a
- * few hundred nodes, and would still hear of most of them only every few seconds. Instead each zone
- * has two relays. The nodes of the zone report to both; the first of the two sends each of them the
- * sum of all others, and the sum of the zone to the relays of the other zones. A node then receives
- * some hundred small datagrams a second however many nodes there are, and what it knows is some
- * 70 ms old.
+ * If every node reported to every other, each would spend its processor share on it at a few
+ * hundred nodes and would still get reports from most of them only every few seconds. Instead,
+ * each zone has two relays. The nodes of the zone report to both; the first relay sends each of
+ * them the sum of all others, and sends the sum of the zone to the relays of the other zones. A
+ * node then receives some hundred small datagrams per second regardless of the number of nodes,
+ * and its view is some 70 ms old.
  *
- * The relays are chosen by every node for itself, from the nodes that it takes for alive: the most
- * capable ones, in an order that is drawn from their names. Nothing has to be agreed: a digest is
- * absolute and says what its sender knows, so that relays that disagree on their role only send
- * more than is needed. While no digest comes, loads are forgotten and the choice of workers falls
- * back on what this node sees itself.
- */
+ * Each node selects the relays by itself from the nodes that it considers alive: the most capable
+ * ones, in an order derived from hashes of their names. No agreement is needed: a digest is
+ * absolute and contains what its sender knows, so relays that disagree on their role only send
+ * more than necessary. Without digests, loads expire and worker selection falls back to this
+ * node's own observations. */
 
 #include <cstdint>
 #include <functional>
@@ -40,50 +39,51 @@
 namespace chalkshed {
 
 struct load_relay_knobs {
-    /** So many nodes of a zone relay; one may die without a gap. */
-    size_t relays_a_zone = 2;
-    /** Between two digests at least. Measured at 63 nodes: digests each 100 ms made one stream in
-     * ten late, because many nodes chose by the same old view. */
-    Duration least_interval = std::chrono::milliseconds(25);
-    /** A relay sends about so many datagrams a second at most; where its zone is large, digests are
-     * rarer. Some 3 in 100 of a core. */
+    /** Number of relays per zone; one may fail without a gap. */
+    size_t relays_per_zone = 2;
+    /** Minimum interval between two digests. With digests every 100 ms at 63 nodes, one stream in
+     * ten was late, because many nodes selected workers by the same outdated view. */
+    Duration min_interval = std::chrono::milliseconds(25);
+    /** Approximate limit on the datagrams that a relay sends per second, at some 3 % of a core; in
+     * large zones, digests become less frequent. */
     double datagrams_per_second = 2400;
-    /** The second relay of another zone needs little: it is sent each so many sums of this zone. */
+    /** The second relay of another zone is sent only every n-th sum of this zone. */
     uint64_t sums_for_second_relay = 4;
-    /** The second relay sends when it has not heard the first for this long: three digests of a
-     * zone of a hundred nodes. */
+    /** The second relay starts sending when the first has been silent for this long: three digests
+     * of a zone of a hundred nodes. */
     Duration first_relay_silence = std::chrono::milliseconds(350);
-    /** What a relay said counts no more after this long; a burst lasts longer than that. */
+    /** Reports of a relay expire after this time, which exceeds the duration of a burst. */
     Duration digest_lifetime = std::chrono::milliseconds(1500);
-    /** A relay that the store has not answered for so long may lack what is new, and says so: with
-     * nothing to tell, the store holds its answers for 1.5 s. */
+    /** A relay without an answer from the store for this long may lack recent changes, and reports
+     * so: without changes, the store delays its answers by 1.5 s. */
     Duration store_contact = std::chrono::milliseconds(2000);
-    /** A digest of so many entries and sessions fits into a datagram. */
-    size_t most_entries = 100;
-    size_t most_lapsed = 24;
+    /** A digest of this many entries and sessions fits into a datagram. */
+    size_t max_entries = 100;
+    size_t max_lapsed = 24;
 };
 
-/** The loads of a heartbeat as entries of a digest. */
+/** Converts the loads of a heartbeat to digest entries. */
 std::vector<digest_entry> to_entries(const std::vector<PeerWorkerLoad> &loads);
 
-/** The load of several sources together, by worker. Kept with each report: summed over all nodes
- * for each digest, it took a relay of 20 nodes 60,000 look-ups a digest at 3,000 workers. */
+/** Combined load of several sources on a worker. It is updated with each report: summing over all
+ * nodes for each digest took 60,000 look-ups per digest at a relay of 20 nodes with 3,000 workers.
+ */
 struct summed_load {
     int32_t online = 0;
     int32_t batch = 0;
 };
 using summed_loads = std::unordered_map<uint32_t, summed_load>;
 
-/** What one source last reported, as it stands in the WorkerSet. */
+/** The last report of one source, as applied to the WorkerSet. */
 class reported_loads {
 public:
-    /** Replaces what the source reported of the workers of a range.
-     * \param sum If given, takes the same changes. */
+    /** Replaces the source's report for a range of workers.
+     * \param sum If given, gets the same changes. */
     void replace(WorkerSet &workers, const std::vector<digest_entry> &entries, uint32_t first = 0,
                  uint32_t last = UINT32_MAX, summed_loads *sum = nullptr);
-    /** Adds the prompts that have been sent to workers since the source reported before. The first
-     * sight of a counter says nothing of when its prompts were sent.
-     * \param total If given, takes what was added, in units, by worker. */
+    /** Adds the prompts sent to workers since the source's previous report. The first value of a
+     * counter is only recorded, since it doesn't tell when its prompts were sent.
+     * \param total If given, gets the added units by worker. */
     void add_prompts(WorkerSet &workers, const std::vector<digest_entry> &entries,
                      std::unordered_map<uint32_t, uint16_t> *total = nullptr);
     void forget_prompts() {
@@ -93,7 +93,7 @@
     const std::map<uint32_t, digest_entry> &loads() const {
         return loads_;
     }
-    /** Prompts that were added, in units, by worker; they wrap. */
+    /** Added prompt units by worker; they wrap around. */
     const std::map<uint32_t, uint16_t> &added_prompts() const {
         return added_;
     }
@@ -106,18 +106,19 @@
 
 class load_relay {
 public:
-    /** \param own This node; its `fit` and `lapsed` are not read. All references outlive this. */
+    /** \param own This node; its `fit` and `lapsed` are ignored. All references outlive this. */
     load_relay(TimeSource &time_source, Dispatcher &dispatcher, DatagramTransport &datagrams,
                WorkerSet &workers, StoreClock &clock, Logger &logger, MetricsRegistry &metrics,
                relay_candidate own, const load_relay_knobs &knobs = {});
 
-    /** The other nodes as they stand now. Nothing is relayed until this has been called, nor after
-     * it was called with an empty list. */
+    /** Sets the current other nodes. Nothing is relayed before the first call, or after a call with
+     * an empty list. */
     void set_peers(std::vector<relay_candidate> peers);
-    /** Forgets what relays said that are silent now; to be called a few times a second. */
+    /** Drops the reports of relays that have become silent; to be called a few times per second. */
     void forget_silent();
 
-    /** What this node knows of the store's tables, and what happens with what relays know. */
+    /** Sets the source of this node's known table versions, and the callback for those that relays
+     * report. */
     void set_known_versions(
         std::function<KnownVersions()> own,
         std::function<void(const std::string &session, const KnownVersions &)> on_reported);
@@ -126,39 +127,40 @@
         on_role_changed_ = std::move(callback);
     }
 
-    /** Called when a digest comes of a session that is not known. */
+    /** Called when a digest from an unknown session arrives. */
     void set_on_unknown_session(std::function<void()> callback) {
         on_unknown_session_ = std::move(callback);
     }
 
     /** Whether this node is a relay of its zone. */
     bool relaying() const {
-        return rank_ < knobs_.relays_a_zone;
+        return rank_ < knobs_.relays_per_zone;
     }
-    /** Whether this node hears a relay of its zone that knows what is new in the store's tables. */
+    /** Whether this node gets digests from a relay of its zone that is up to date with the store's
+     * tables. */
     bool hears_informed_relay() const {
         return !view_.session.empty() && view_informed_;
     }
-    /** Where this node reports its load. */
+    /** Addresses to which this node reports its load. */
     const std::vector<Address> &report_to() const {
         return report_to_;
     }
-    /** Between two digests that this node sends or hears. */
+    /** Interval between two digests that this node sends or receives. */
     Duration digest_interval() const;
-    /** A node of this zone has reported its load. */
+    /** Takes in the load reported by a node of this zone. */
     void collect(const std::string &node, const std::vector<PeerWorkerLoad> &loads);
     /** \return Whether the datagram was a digest. */
     bool receive(std::string_view datagram);
-    /** Whether a relay has lately said that the session is gone. */
+    /** Whether a relay has recently reported that the session has lapsed. */
     bool reported_lapsed(const std::string &session) const;
 
 private:
-    /** A zone, or all other nodes, as the relay of a zone reports them. */
+    /** The load of a zone, or of all other nodes, as reported by the relay of a zone. */
     struct zone_source {
         reported_loads loads;
-        /** Of the relay that is listened to. */
+        /** Session id of the relay whose digests are used. */
         std::string session;
-        /** Sequence number of its newest digest, which may come in several datagrams. */
+        /** Sequence number of its newest digest, which may span several datagrams. */
         uint64_t sequence = 0;
         MonotonicTime heard{};
     };
@@ -171,21 +173,21 @@
     std::vector<const relay_candidate *> relays_of(const std::string &zone) const;
     void update_role();
     void forget_all();
-    void take(zone_source &source, const load_digest &digest);
+    void apply(zone_source &source, const load_digest &digest);
     void forget(zone_source &source);
     bool first_relay_is_silent() const;
     void send_digests();
     void send_views();
     void send_zone_sum();
     load_digest make_digest(bool zone_sum);
-    /** The load of this node and, as far as known, of all others. */
+    /** The load of all nodes including this one, as far as known. */
     std::vector<digest_entry> all_entries() const;
-    /** Those of this node's zone alone. */
+    /** The load of this node's zone only. */
     std::vector<digest_entry> zone_entries() const;
     static std::vector<digest_entry> without(const std::vector<digest_entry> &all,
                                              const reported_loads &receiver);
     void send(const std::vector<Address> &receivers, load_digest whole);
-    /** Sessions that are gone by this node's own sight, of its own zone. */
+    /** Lapsed sessions of this node's zone, as seen by this node itself. */
     std::vector<uint64_t> own_lapsed() const;
     std::vector<uint64_t> all_lapsed() const;
 
@@ -194,34 +196,35 @@
     WorkerSet &workers_;
     StoreClock &clock_;
     Logger &logger_;
-    Histogram &view_age_;
+    Histogram &view_interval_;
     const relay_candidate own_;
     const load_relay_knobs knobs_;
     std::vector<relay_candidate> peers_;
     /** Peers of this node's zone. */
     size_t zone_peers_ = 0;
     std::map<std::string, size_t> by_session_;
-    /** Position among the nodes of the zone that may relay. */
+    /** Rank among the relay candidates of the zone. */
     size_t rank_ = SIZE_MAX;
     std::string relay_names_;
     std::vector<Address> report_to_;
-    /** Loads and prompts of the nodes of this zone, as collected by a relay. */
+    /** At a relay: loads and prompts reported by the nodes of this zone. */
     std::map<std::string, reported_loads> collected_;
-    /** What the relays of other zones say, by zone, at a relay. */
+    /** At a relay: reports from the relays of other zones, by zone. */
     std::map<std::string, zone_source> zones_;
-    /** What this zone's relay says, at any other node. */
+    /** At any other node: the report of this zone's relay. */
     zone_source view_;
-    /** Whether that relay knows what is new in the store's tables, by its last digest. */
+    /** Whether that relay was up to date with the store's tables at its last digest. */
     bool view_informed_ = false;
     MonotonicTime first_relay_heard_{};
-    /** Sessions that are gone, by the zone whose relay says so. */
+    /** Lapsed sessions, by the zone whose relay reported them. */
     std::map<std::string, lapsed_report> lapsed_;
-    /** Prompts that other nodes have sent to workers since this one relays, in units; wraps. */
+    /** Prompt units that other nodes have sent to workers since this node became a relay; wraps
+     * around. */
     std::unordered_map<uint32_t, uint16_t> zone_prompts_;
-    std::unordered_map<uint32_t, uint16_t> far_prompts_;
+    std::unordered_map<uint32_t, uint16_t> other_zone_prompts_;
     /** Sum of `collected_`. */
     summed_loads zone_loads_;
-    /** Datagrams of the last view that was sent. */
+    /** Number of datagrams of the last view that was sent. */
     size_t view_pages_ = 1;
     std::function<KnownVersions()> own_versions_;
     std::function<void(const std::string &session, const KnownVersions &)> on_versions_;
--- a/include/chalkshed/relay_choice.h
+++ b/include/chalkshed/relay_choice.h
@@ -2,11 +2,11 @@
 #define CHALKSHED_RELAY_CHOICE_H
 
 /** \file
- * Which nodes of a zone pass on to all others what the nodes of the zone report.
+ * Selects the nodes of a zone that relay the reports of the zone's nodes to all others.
  *
- * Every node chooses for itself, from the nodes that it takes for alive: the most capable ones, in
- * an order that is drawn from their names. Nothing has to be agreed: nodes that see the same peers
- * come to the same relays, and what relays send has to be harmless while they don't. */
+ * Each node selects by itself from the nodes that it considers alive: the most capable ones, in an
+ * order derived from hashes of their names. No agreement is needed: nodes that see the same peers
+ * select the same relays, and until they do, what relays send has to be harmless. */
 
 #include <cstddef>
 #include <string>
@@ -16,24 +16,24 @@
 
 namespace chalkshed {
 
-/** A node as the others see it. */
+/** A node as seen by the others. */
 struct relay_candidate {
     std::string node;
     std::string session;
     std::string zone;
     Address address;
-    /** Share of a processor core that the machine has; the most capable ones relay. */
+    /** Share of a processor core that the machine has; the most capable nodes become relays. */
     double capacity = 0;
     /** Alive, reachable and not stopping. */
     bool fit = false;
-    /** Taken for gone by this node itself. */
+    /** Considered lapsed by this node itself. */
     bool lapsed = false;
-    /** Silent for so long that it does nothing any more that would need to be counted. */
+    /** Silent for so long that it can't be doing any work that would have to be counted. */
     bool gone = false;
 };
 
 /** \param own This node, which is always fit.
- * \return The relays of the zone, the first one first; at most `count`. */
+ * \return At most `count` relays of the zone in order of rank. */
 std::vector<const relay_candidate *> choose_relays(const std::vector<relay_candidate> &peers,
                                                    const relay_candidate &own,
                                                    const std::string &zone, size_t count);
--- a/src/load_relay/load_digest.cc
+++ b/src/load_relay/load_digest.cc
@@ -54,13 +54,13 @@
     return digest;
 }
 
-std::vector<load_digest> split_digest(load_digest whole, size_t most_entries) {
+std::vector<load_digest> split_digest(load_digest whole, size_t max_entries) {
     const std::vector<digest_entry> entries = std::move(whole.entries);
     std::vector<load_digest> pages;
     size_t at = 0;
     uint32_t first = whole.first;
     do {
-        const size_t end = std::min(at + most_entries, entries.size());
+        const size_t end = std::min(at + max_entries, entries.size());
         load_digest page = whole;
         page.entries.assign(entries.begin() + static_cast<ptrdiff_t>(at),
                             entries.begin() + static_cast<ptrdiff_t>(end));
--- a/src/load_relay/load_relay.cc
+++ b/src/load_relay/load_relay.cc
@@ -34,8 +34,8 @@
                        const load_relay_knobs &knobs)
     : time_source_(time_source), datagrams_(datagrams), workers_(workers), clock_(clock),
       logger_(logger),
-      view_age_(metrics.histogram("chalkshed_load_view_interval_seconds",
-                                  "Time between two digests of the load of other nodes.", {})),
+      view_interval_(metrics.histogram("chalkshed_load_view_interval_seconds",
+                                       "Time between two digests of the load of other nodes.", {})),
       own_(std::move(own)), knobs_(knobs),
       timer_(dispatcher.create_timer([this] { send_digests(); })) {}
 
@@ -78,7 +78,7 @@
 }
 
 std::vector<const relay_candidate *> load_relay::relays_of(const std::string &zone) const {
-    return choose_relays(peers_, own_, zone, knobs_.relays_a_zone);
+    return choose_relays(peers_, own_, zone, knobs_.relays_per_zone);
 }
 
 void load_relay::update_role() {
@@ -118,12 +118,12 @@
 }
 
 Duration load_relay::digest_interval() const {
-    // A node that does not relay knows from the views how many pages they have.
-    const size_t seen = view_.loads.loads().size() / knobs_.most_entries + 1;
+    // Other nodes know the number of pages from the views that they receive.
+    const size_t seen = view_.loads.loads().size() / knobs_.max_entries + 1;
     const size_t pages = relaying() ? view_pages_ : seen;
     const std::chrono::duration<double> interval(static_cast<double>(zone_peers_ * pages) /
                                                  knobs_.datagrams_per_second);
-    return std::max(knobs_.least_interval, std::chrono::duration_cast<Duration>(interval));
+    return std::max(knobs_.min_interval, std::chrono::duration_cast<Duration>(interval));
 }
 
 void load_relay::forget(zone_source &source) {
@@ -133,7 +133,7 @@
     source.sequence = 0;
 }
 
-// The loads of one role must not count beside those of another.
+// Loads known in the previous role must not be counted in the new one.
 void load_relay::forget_all() {
     for (auto &[node, loads] : collected_) {
         loads.replace(workers_, {});
@@ -146,7 +146,7 @@
     zones_.clear();
     forget(view_);
     zone_prompts_.clear();
-    far_prompts_.clear();
+    other_zone_prompts_.clear();
 }
 
 void load_relay::forget_silent() {
@@ -171,21 +171,21 @@
     known.add_prompts(workers_, entries, &zone_prompts_);
 }
 
-// Two relays may send for a while. The loads are those of the newest digest of either; prompts are
-// counted by one of them alone, so that none counts twice.
-void load_relay::take(zone_source &source, const load_digest &digest) {
+// Two relays may send at the same time. Loads are taken from the newest digest of either; prompts
+// are counted from one relay only, so that none counts twice.
+void load_relay::apply(zone_source &source, const load_digest &digest) {
     if (source.session != digest.session) {
         source.session = digest.session;
         source.sequence = 0;
         source.loads.forget_prompts();
     }
     if (digest.sequence < source.sequence) {
-        return; // overtaken on its way
+        return; // reordered in transit
     }
     source.sequence = digest.sequence;
     source.heard = time_source_.monotonic_now();
     source.loads.replace(workers_, digest.entries, digest.first, digest.last);
-    source.loads.add_prompts(workers_, digest.entries, &far_prompts_);
+    source.loads.add_prompts(workers_, digest.entries, &other_zone_prompts_);
 }
 
 bool load_relay::receive(std::string_view datagram) {
@@ -198,7 +198,7 @@
         if (on_unknown_session_) {
             on_unknown_session_();
         }
-        return true; // its announcement has not arrived, or its session is over
+        return true; // its announcement hasn't arrived yet, or its session has ended
     }
     const MonotonicTime now = time_source_.monotonic_now();
     const bool own_zone = sender->zone == own_.zone;
@@ -214,13 +214,13 @@
             first_relay_heard_ = now;
         } else {
             if (view_.heard != MonotonicTime{}) {
-                view_age_.observe(std::chrono::duration<double>(now - view_.heard).count());
+                view_interval_.observe(std::chrono::duration<double>(now - view_.heard).count());
             }
-            take(view_, *digest);
+            apply(view_, *digest);
             view_informed_ = digest->known.workers > 0;
         }
     } else if (!own_zone && digest->zone_sum && relaying()) {
-        take(zones_[sender->zone], *digest);
+        apply(zones_[sender->zone], *digest);
     }
     return true;
 }
@@ -239,7 +239,7 @@
 std::vector<uint64_t> load_relay::own_lapsed() const {
     std::vector<uint64_t> sessions;
     for (const relay_candidate &peer : peers_) {
-        if (peer.zone == own_.zone && peer.lapsed && sessions.size() < knobs_.most_lapsed) {
+        if (peer.zone == own_.zone && peer.lapsed && sessions.size() < knobs_.max_lapsed) {
             sessions.push_back(content_hash(peer.session));
         }
     }
@@ -254,7 +254,7 @@
             sessions.insert(sessions.end(), report.sessions.begin(), report.sessions.end());
         }
     }
-    sessions.resize(std::min(sessions.size(), knobs_.most_lapsed));
+    sessions.resize(std::min(sessions.size(), knobs_.max_lapsed));
     return sessions;
 }
 
@@ -295,9 +295,9 @@
         entry.worker = hash;
         entry.online = to_byte(int64_t{worker->online_in_flight} + worker->others_online);
         entry.batch = to_byte(int64_t{worker->batch_in_flight} + worker->others_batch);
-        entry.prompt_units =
-            static_cast<uint16_t>(to_units(worker->prompt_tokens_sent) +
-                                  value_of(zone_prompts_, hash) + value_of(far_prompts_, hash));
+        entry.prompt_units = static_cast<uint16_t>(to_units(worker->prompt_tokens_sent) +
+                                                   value_of(zone_prompts_, hash) +
+                                                   value_of(other_zone_prompts_, hash));
         if (entry.online > 0 || entry.batch > 0) {
             entries.push_back(entry);
         }
@@ -324,7 +324,7 @@
     return entries;
 }
 
-/** Both are in rising order of the workers. */
+/** Both arguments are sorted by worker. */
 std::vector<digest_entry> load_relay::without(const std::vector<digest_entry> &all,
                                               const reported_loads &receiver) {
     std::vector<digest_entry> others;
@@ -353,7 +353,7 @@
 }
 
 void load_relay::send(const std::vector<Address> &receivers, load_digest whole) {
-    for (const load_digest &page : split_digest(std::move(whole), knobs_.most_entries)) {
+    for (const load_digest &page : split_digest(std::move(whole), knobs_.max_entries)) {
         const std::string datagram = encode_load_digest(page);
         for (const Address &receiver : receivers) {
             datagrams_.send(receiver, datagram);
@@ -362,16 +362,16 @@
 }
 
 void load_relay::send_views() {
-    static const reported_loads kNothing;
+    static const reported_loads kNoLoads;
     const std::vector<digest_entry> all = all_entries();
-    view_pages_ = all.size() / knobs_.most_entries + 1;
+    view_pages_ = all.size() / knobs_.max_entries + 1;
     for (const relay_candidate &peer : peers_) {
         if (peer.zone != own_.zone || peer.address.ip.empty()) {
             continue;
         }
         const auto reported = collected_.find(peer.node);
         load_digest view = make_digest(false);
-        view.entries = without(all, reported == collected_.end() ? kNothing : reported->second);
+        view.entries = without(all, reported == collected_.end() ? kNoLoads : reported->second);
         send({peer.address}, std::move(view));
     }
 }
--- a/src/load_relay/reported_loads.cc
+++ b/src/load_relay/reported_loads.cc
@@ -41,7 +41,7 @@
             continue;
         }
         if (!add(known->first, -known->second.online, -known->second.batch) && sum != nullptr) {
-            (*sum).erase(known->first); // the worker is forgotten
+            (*sum).erase(known->first); // the worker is no longer known
         }
         known = loads_.erase(known);
     }
@@ -49,7 +49,7 @@
         const auto known = loads_.find(worker);
         const digest_entry before = known == loads_.end() ? digest_entry{} : known->second;
         const bool changed = entry.online != before.online || entry.batch != before.batch;
-        // A worker that this node does not know yet counts once it does.
+        // The load of a worker that this node doesn't know yet is applied once it does.
         if (!changed || add(worker, entry.online - before.online, entry.batch - before.batch)) {
             loads_[worker] = entry;
         }
@@ -58,7 +58,7 @@
 
 void reported_loads::add_prompts(WorkerSet &workers, const std::vector<digest_entry> &entries,
                                  std::unordered_map<uint32_t, uint16_t> *total) {
-    // A counter that has gone back is another one, of a relay that has just started.
+    // A counter that went backwards is a different one, from a relay that has just started.
     constexpr uint16_t kBackwards = 0x8000;
     for (const digest_entry &entry : entries) {
         const auto [known, is_new] = prompt_units_.try_emplace(entry.worker, entry.prompt_units);
--- a/tests/load_relay/load_digest_test.cc
+++ b/tests/load_relay/load_digest_test.cc
@@ -19,7 +19,7 @@
   return digest;
 }
 
-TEST(LoadDigestTest, SurvivesTheWire) {
+TEST(LoadDigestTest, RoundTrip) {
   load_digest digest = digest_of({{5, 1, 2, 3}, {UINT32_MAX, 255, 255, 65535}});
   digest.zone_sum = true;
   digest.first = 4;
@@ -40,11 +40,11 @@
   EXPECT_EQ(read->entries[1].prompt_units, 65535);
 }
 
-TEST(LoadDigestTest, SaysNothingOfSessionsWhenItHoldsNone) {
+TEST(LoadDigestTest, OmitsLapsedSessionsWhenNotGiven) {
   EXPECT_FALSE(decode_load_digest(encode_load_digest(digest_of({})))->lapsed);
 }
 
-TEST(LoadDigestTest, NoiseAndHeartbeatsAreNoDigests) {
+TEST(LoadDigestTest, RejectsMalformedDatagramsAndHeartbeats) {
   EXPECT_FALSE(decode_load_digest("noise"));
   EXPECT_FALSE(decode_load_digest(""));
   Heartbeat heartbeat;
@@ -64,8 +64,8 @@
     entries.push_back({worker * 4000000 + 17, 1, 1, 1});
   }
   load_digest whole = digest_of(entries);
-  whole.lapsed.emplace(knobs.most_lapsed, UINT64_MAX);
-  const std::vector<load_digest> pages = split_digest(whole, knobs.most_entries);
+  whole.lapsed.emplace(knobs.max_lapsed, UINT64_MAX);
+  const std::vector<load_digest> pages = split_digest(whole, knobs.max_entries);
   ASSERT_EQ(pages.size(), 10U);
   uint64_t next = 0;
   size_t count = 0;
@@ -113,7 +113,7 @@
   std::unordered_map<uint32_t, uint16_t> total;
 };
 
-TEST_F(ReportedLoadsTest, AReportReplacesTheOneBeforeWithinItsRange) {
+TEST_F(ReportedLoadsTest, AReportReplacesThePreviousOneWithinItsRange) {
   ServingWorker& worker = add_worker("i-1");
   const uint32_t hash = hash_of("i-1");
   loads.replace(workers, {{hash, 3, 2, 0}});
@@ -121,14 +121,14 @@
   EXPECT_EQ(worker.others_online, 1);
   EXPECT_EQ(worker.others_batch, 2);
   loads.replace(workers, {}, hash + 1, UINT32_MAX);
-  EXPECT_EQ(worker.others_online, 1) << "the other pages of a digest say nothing of it";
+  EXPECT_EQ(worker.others_online, 1) << "other pages of a digest don't cover it";
   loads.replace(workers, {}, hash, hash);
   EXPECT_EQ(worker.others_online, 0);
   EXPECT_EQ(worker.others_batch, 0);
 }
 
-// A replaced worker takes requests of other nodes before its record has arrived here.
-TEST_F(ReportedLoadsTest, ALoadThatIsReportedBeforeTheWorkerIsKnownCountsOnceItIs) {
+// A replacement worker takes requests of other nodes before its record has arrived here.
+TEST_F(ReportedLoadsTest, ALoadReportedBeforeTheWorkerIsKnownCountsOnceItIs) {
   const uint32_t hash = hash_of("i-1");
   loads.replace(workers, {{hash, 3, 0, 0}});
   ServingWorker& worker = add_worker("i-1");
@@ -138,7 +138,7 @@
   EXPECT_EQ(worker.others_online, 0);
 }
 
-TEST_F(ReportedLoadsTest, PromptsCountOnceAndTheFirstSightOfACounterNot) {
+TEST_F(ReportedLoadsTest, PromptsCountOnceAndTheFirstValueOfACounterDoesNot) {
   const uint32_t hash = hash_of("i-1");
   ServingWorker& worker = add_worker("i-1");
   loads.add_prompts(workers, {{hash, 1, 0, 60000}}, &total);
@@ -149,7 +149,7 @@
   const Duration reading = workers.reading_time(worker);
   EXPECT_GT(reading, Duration(0));
   loads.add_prompts(workers, {{hash, 1, 0, 4}}, &total);
-  loads.add_prompts(workers, {{hash, 1, 0, 2}}, &total);  // of another relay, or reordered
+  loads.add_prompts(workers, {{hash, 1, 0, 2}}, &total);  // from another relay, or reordered
   EXPECT_EQ(workers.reading_time(worker), reading);
 }
 
--- a/tests/load_relay/load_relay_test.cc
+++ b/tests/load_relay/load_relay_test.cc
@@ -1,4 +1,4 @@
-// Loads between many nodes of two zones, by way of relays.
+// Exchange of loads between many nodes of two zones through relays.
 #include "chalkshed/load_relay.h"
 
 #include <gtest/gtest.h>
@@ -10,19 +10,19 @@
 
 class LoadRelayTest : public testing::Test {
  protected:
-  static constexpr int kNodesOfAZone = 30;
+  static constexpr int kNodesPerZone = 30;
 
   LoadRelayTest() {
-    for (int number = 0; number < kNodesOfAZone; ++number) {
-      cluster.start_node(near_node(number), "zone-a");
-      cluster.start_node(far_node(number), "zone-b");
+    for (int number = 0; number < kNodesPerZone; ++number) {
+      cluster.start_node(zone_a_node(number), "zone-a");
+      cluster.start_node(zone_b_node(number), "zone-b");
     }
     cluster.clock.run_for(seconds(4));
   }
-  static std::string near_node(int number) { return "a" + std::to_string(number); }
-  static std::string far_node(int number) { return "b" + std::to_string(number); }
+  static std::string zone_a_node(int number) { return "a" + std::to_string(number); }
+  static std::string zone_b_node(int number) { return "b" + std::to_string(number); }
 
-  // @return the worker that took a request of n0.
+  // Sends a request from n0. @return the worker that took it.
   std::string take_slot(const std::string& id = "r1") {
     cluster.request("/fixed/x", id);
     return cluster.workers.calls.back().header(platform::kExpectInstance);
@@ -30,20 +30,20 @@
   int others_online(const std::string& node, const std::string& worker) {
     return cluster.node(node).workers().find(worker)->others_online;
   }
-  // How many nodes other than n0 know of the one request at the worker.
-  int knowing(const std::string& worker) {
+  // Number of nodes other than n0 that know of the one request at the worker.
+  int nodes_that_know(const std::string& worker) {
     int count = 0;
     for (const auto& [name, node] : cluster.nodes) {
       count += node && name != "n0" && others_online(name, worker) == 1 ? 1 : 0;
     }
     return count;
   }
-  // The nodes of that zone that have sent the most datagrams lately: its relays.
-  std::vector<std::string> busiest(const std::string& prefix) {
-    std::map<std::string, int> before = sums();
+  // The two nodes of that zone that sent the most datagrams in the last second: its relays.
+  std::vector<std::string> busiest_nodes(const std::string& prefix) {
+    std::map<std::string, int> before = datagrams_sent();
     cluster.clock.run_for(seconds(1));
     std::vector<std::pair<int, std::string>> ranked;
-    for (const auto& [name, sent] : sums()) {
+    for (const auto& [name, sent] : datagrams_sent()) {
       if (name.starts_with(prefix)) {
         ranked.push_back({sent - before[name], name});
       }
@@ -51,25 +51,25 @@
     std::sort(ranked.rbegin(), ranked.rend());
     return {ranked.at(0).second, ranked.at(1).second};
   }
-  std::map<std::string, int> sums() {
-    std::map<std::string, int> sums;
+  std::map<std::string, int> datagrams_sent() {
+    std::map<std::string, int> datagrams_sent;
     for (const auto& [pair, count] : cluster.hub.sent) {
-      sums[pair.first] += count;
+      datagrams_sent[pair.first] += count;
     }
-    return sums;
+    return datagrams_sent;
   }
   bool alive(const std::string& observer, const std::string& session) {
     return cluster.node(observer).peers().alive(session, cluster.shared.rows.version());
   }
 
-  // n0 is a node of zone-a too.
+  // n0 belongs to zone-a too.
   ServingCluster cluster{1, 8};
 };
 
 TEST_F(LoadRelayTest, ALoadIsKnownToAllNodesOfAllZonesWithinAThirdOfASecond) {
   const std::string worker = take_slot();
   cluster.clock.run_for(milliseconds(320));
-  EXPECT_EQ(knowing(worker), 2 * kNodesOfAZone);
+  EXPECT_EQ(nodes_that_know(worker), 2 * kNodesPerZone);
   cluster.workers.calls.back().begin();
   cluster.workers.calls.back().end();
   cluster.clock.run_for(milliseconds(320));
@@ -78,8 +78,8 @@
   }
 }
 
-TEST_F(LoadRelayTest, ANodeSendsFewDatagramsHoweverManyNodesThereAre) {
-  const int before = sums()["n0"];
+TEST_F(LoadRelayTest, ANodeSendsFewDatagramsRegardlessOfTheNumberOfNodes) {
+  const int before = datagrams_sent()["n0"];
   for (int count = 0; count < 20; ++count) {
     take_slot("r" + std::to_string(count));
     cluster.clock.run_for(milliseconds(25));
@@ -87,22 +87,23 @@
     cluster.workers.calls.back().end();
     cluster.clock.run_for(milliseconds(25));
   }
-  // To two relays on each change, and to the others to show that it lives; a mesh sends some 900.
-  EXPECT_LE(sums()["n0"] - before, 140);
+  // To two relays on each change, and to the others as a sign of life; without relays, it would
+  // send some 900.
+  EXPECT_LE(datagrams_sent()["n0"] - before, 140);
 }
 
-TEST_F(LoadRelayTest, ANodeAsksTheStoreSeldomHoweverManyJobsChange) {
+TEST_F(LoadRelayTest, ANodeQueriesTheStoreRarelyRegardlessOfTheNumberOfJobChanges) {
   cluster.answer_all(2, milliseconds(20));
   const uint64_t before = cluster.shared.calls;
   constexpr int kSeconds = 20;
   for (int second = 0; second < kSeconds; ++second) {
-    cluster.node(near_node(second))
+    cluster.node(zone_a_node(second))
         .jobs()
         .submit(cluster.job("j" + std::to_string(second), 1), [](const auto&) {});
     cluster.clock.run_for(seconds(1));
   }
   const double calls = static_cast<double>(cluster.shared.calls - before);
-  EXPECT_LE(calls / (2 * kNodesOfAZone + 1) / kSeconds, 1.4);
+  EXPECT_LE(calls / (2 * kNodesPerZone + 1) / kSeconds, 1.4);
 }
 
 TEST_F(LoadRelayTest, OwnLoadIsNotCountedTwice) {
@@ -114,7 +115,7 @@
 }
 
 TEST_F(LoadRelayTest, TheLossOfARelayLeavesNoGap) {
-  const std::string first = busiest("a").front();
+  const std::string first = busiest_nodes("a").front();
   const std::string worker = take_slot();
   cluster.clock.run_for(milliseconds(400));
   cluster.kill_node(first);
@@ -128,35 +129,35 @@
   }
 }
 
-TEST_F(LoadRelayTest, AfterTheLossOfBothRelaysOthersRelay) {
-  for (const std::string& relay : busiest("a")) {
+TEST_F(LoadRelayTest, AfterTheLossOfBothRelaysOtherNodesTakeOver) {
+  for (const std::string& relay : busiest_nodes("a")) {
     cluster.kill_node(relay);
   }
   cluster.clock.run_for(seconds(5));
   const std::string worker = take_slot();
   cluster.clock.run_for(milliseconds(320));
-  EXPECT_EQ(knowing(worker), 2 * kNodesOfAZone - 2);
+  EXPECT_EQ(nodes_that_know(worker), 2 * kNodesPerZone - 2);
 }
 
-TEST_F(LoadRelayTest, NodesThatStartTogetherHearEachOtherSoon) {
-  for (int number = 0; number < kNodesOfAZone; ++number) {
-    cluster.kill_node(near_node(number));
-    cluster.kill_node(far_node(number));
+TEST_F(LoadRelayTest, NodesThatStartTogetherExchangeLoadsSoon) {
+  for (int number = 0; number < kNodesPerZone; ++number) {
+    cluster.kill_node(zone_a_node(number));
+    cluster.kill_node(zone_b_node(number));
   }
   cluster.clock.run_for(seconds(1));
-  for (int number = 0; number < kNodesOfAZone; ++number) {
-    cluster.start_node(near_node(number), "zone-a");
-    cluster.start_node(far_node(number), "zone-b");
+  for (int number = 0; number < kNodesPerZone; ++number) {
+    cluster.start_node(zone_a_node(number), "zone-a");
+    cluster.start_node(zone_b_node(number), "zone-b");
     cluster.clock.run_for(milliseconds(5));
   }
   cluster.clock.run_for(milliseconds(400));
   const std::string worker = take_slot();
   cluster.clock.run_for(milliseconds(320));
-  EXPECT_EQ(knowing(worker), 2 * kNodesOfAZone);
+  EXPECT_EQ(nodes_that_know(worker), 2 * kNodesPerZone);
 }
 
-TEST_F(LoadRelayTest, AStoreThatIsDownForAllChangesNoRelay) {
-  const std::vector<std::string> before = busiest("a");
+TEST_F(LoadRelayTest, AStoreOutageForAllNodesChangesNoRelay) {
+  const std::vector<std::string> before = busiest_nodes("a");
   int number = 0;
   for (auto& [name, node] : cluster.nodes) {
     call_after(cluster.loop, milliseconds(40) * number++,
@@ -164,12 +165,13 @@
   }
   std::set<std::string> relays;
   for (int step = 0; step < 60; ++step) {
-    const std::map<std::string, int> sent = sums();
+    const std::map<std::string, int> sent = datagrams_sent();
     cluster.clock.run_for(milliseconds(100));
-    for (const auto& [name, count] : sums()) {
-      // A relay sends its digests some thirty times to thirty nodes a second, others little.
-      constexpr int kOfARelay = 60;
-      if (name.starts_with("a") && count - sent.at(name) > kOfARelay) {
+    for (const auto& [name, count] : datagrams_sent()) {
+      // A relay sends about thirty digests per second to thirty nodes; other nodes send few
+      // datagrams.
+      constexpr int kMinSentByRelay = 60;
+      if (name.starts_with("a") && count - sent.at(name) > kMinSentByRelay) {
         relays.insert(name);
       }
     }
@@ -177,7 +179,7 @@
   EXPECT_EQ(relays, std::set<std::string>{before.front()});
 }
 
-TEST_F(LoadRelayTest, LoadsOfALostNodeAreForgotten) {
+TEST_F(LoadRelayTest, LoadsOfALostNodeAreDropped) {
   const std::string worker = take_slot();
   cluster.clock.run_for(milliseconds(400));
   cluster.kill_node("n0");
@@ -189,11 +191,11 @@
   }
 }
 
-TEST_F(LoadRelayTest, ASilentNodeLapsesEverywhereSoonThoughFewHearItDirectly) {
+TEST_F(LoadRelayTest, ASilentNodeLapsesEverywhereSoonAlthoughFewHearItDirectly) {
   const std::string dead = cluster.node("n0").peers().own_session();
   cluster.kill_node("n0");
   cluster.clock.run_for(seconds(1));
-  EXPECT_TRUE(alive(far_node(3), dead));
+  EXPECT_TRUE(alive(zone_b_node(3), dead));
   cluster.clock.run_for(milliseconds(2500));
   for (const auto& [name, node] : cluster.nodes) {
     if (node) {
@@ -202,11 +204,11 @@
   }
 }
 
-// A node that relays in its own eyes alone hears the others seldom, and must not take them for
-// gone.
-TEST_F(LoadRelayTest, NobodyLapsesWhenRelaysChange) {
+// A node that considers itself a relay while others don't hears from the others rarely, and must
+// not consider them lapsed.
+TEST_F(LoadRelayTest, NoSessionLapsesWhenRelaysChange) {
   for (int round = 0; round < 3; ++round) {
-    for (const std::string& relay : busiest("a")) {
+    for (const std::string& relay : busiest_nodes("a")) {
       cluster.kill_node(relay);
       cluster.start_node(relay, "zone-a");
     }
@@ -221,21 +223,22 @@
   }
 }
 
-TEST_F(LoadRelayTest, NobodyLapsesWhileAllLive) {
+TEST_F(LoadRelayTest, NoSessionLapsesWhileAllNodesAreAlive) {
   for (int second = 0; second < 20; ++second) {
     cluster.clock.run_for(seconds(1));
-    EXPECT_TRUE(alive(far_node(3), cluster.node("n0").peers().own_session())) << second;
-    EXPECT_TRUE(alive("n0", cluster.node(far_node(7)).peers().own_session())) << second;
+    EXPECT_TRUE(alive(zone_b_node(3), cluster.node("n0").peers().own_session())) << second;
+    EXPECT_TRUE(alive("n0", cluster.node(zone_b_node(7)).peers().own_session())) << second;
   }
 }
 
-// Failures at workers are told to all nodes at once, far more often than a node shows that it
-// lives. A receiver that took this for the usual rate held the sender for dead once it grew quiet:
-// on 295 nodes hundreds of sessions lapsed together, and jobs went from owner to owner.
-TEST_F(LoadRelayTest, NobodyLapsesWhenANodeHasNoMoreFailuresToTell) {
-  constexpr int kMoreFarNodes = 70;  // the farther half hears n0 each five seconds
-  for (int number = 0; number < kMoreFarNodes; ++number) {
-    cluster.start_node(far_node(kNodesOfAZone + number), "zone-b");
+// Regression test: failures at workers are reported to all nodes at once, far more often than plain
+// heartbeats. A receiver that took this for the usual rate considered the sender dead once it
+// became quiet: with 295 nodes, hundreds of sessions lapsed together and jobs moved from owner to
+// owner.
+TEST_F(LoadRelayTest, NoSessionLapsesWhenANodeStopsReportingFailures) {
+  constexpr int kMoreZoneBNodes = 70;  // the farther half gets a heartbeat of n0 every five seconds
+  for (int number = 0; number < kMoreZoneBNodes; ++number) {
+    cluster.start_node(zone_b_node(kNodesPerZone + number), "zone-b");
   }
   cluster.clock.run_for(seconds(6));
   for (int count = 0; count < 30; ++count) {
@@ -253,33 +256,33 @@
   }
 }
 
-TEST_F(LoadRelayTest, AFailureAtAWorkerIsKnownEverywhereAtOnce) {
+TEST_F(LoadRelayTest, AFailureAtAWorkerReachesAllNodesAtOnce) {
   cluster.request("/once/x", "r1");
   ScriptedCall& call = cluster.workers.calls.back();
   const std::string failing = call.header(platform::kExpectInstance);
   call.fail(Ran::kUnknown);
   cluster.clock.run_for(milliseconds(150));
-  EXPECT_TRUE(cluster.node(far_node(7))
+  EXPECT_TRUE(cluster.node(zone_b_node(7))
                   .workers()
                   .find(failing)
                   ->outcomes.paused(cluster.clock.monotonic_now()));
 }
 
-TEST_F(LoadRelayTest, LostDatagramsHealWithTheNextDigest) {
+TEST_F(LoadRelayTest, TheNextDigestMakesUpForLostDatagrams) {
   cluster.hub.lose_every = 3;
   const std::string worker = take_slot();
   cluster.clock.run_for(seconds(2));
   cluster.hub.lose_every = 0;
   cluster.clock.run_for(milliseconds(400));
-  EXPECT_EQ(knowing(worker), 2 * kNodesOfAZone);
+  EXPECT_EQ(nodes_that_know(worker), 2 * kNodesPerZone);
 }
 
-// What comes from a session that is over, is older, or names no session, changes nothing.
-TEST_F(LoadRelayTest, DigestsOfUnknownOrPastSessionsChangeNothing) {
+// Digests from ended or unknown sessions, and outdated digests, are ignored.
+TEST_F(LoadRelayTest, DigestsOfUnknownOrEndedSessionsAreIgnored) {
   const std::string worker = take_slot();
   cluster.clock.run_for(milliseconds(400));
-  const std::string relay = busiest("a").front();
-  const std::string member = relay == near_node(1) ? near_node(2) : near_node(1);
+  const std::string relay = busiest_nodes("a").front();
+  const std::string member = relay == zone_a_node(1) ? zone_a_node(2) : zone_a_node(1);
   const auto deliver = [&](const std::string& session, uint64_t sequence) {
     load_digest forged;
     forged.session = session;
