--- a/include/chalkshed/recent_rate.h
+++ b/include/chalkshed/recent_rate.h
@@ -2,7 +2,7 @@
 #define CHALKSHED_RECENT_RATE_H
 
 /** \file
- * How often something happens, as a mean that forgets exponentially. */
+ * Event rate as an exponentially weighted moving average. */
 
 #include "src/core/time.h"
 
@@ -10,7 +10,7 @@
 
 class recent_rate {
 public:
-    /** \param window The mean is over about this long. */
+    /** \param window Time constant of the average. */
     explicit recent_rate(Duration window) : window_(window) {}
     void add(double count, MonotonicTime now);
     double per_second(MonotonicTime now) const;
--- a/src/tenant_quota/quota_exchange.cc
+++ b/src/tenant_quota/quota_exchange.cc
@@ -7,9 +7,11 @@
 namespace chalkshed {
 namespace {
 
-/** A source whose first messages were lost is still known from its beginning. */
+/** A source counts as known from its start even if its first messages were lost, up to this
+ * sequence number. */
 constexpr uint64_t kFirstMessages = 3;
-/** Where less than this share of the nodes is counted, this may be the smaller part of a cut. */
+/** With less than this share of the nodes counted, this relay may be in the smaller part of a
+ * partition. */
 constexpr double kMajority = 0.5;
 
 } // namespace
@@ -20,7 +22,7 @@
                                const quota_exchange_knobs &knobs)
     : time_source_(time_source), datagrams_(datagrams), quota_(quota), logger_(logger),
       coverage_gauge_(metrics.gauge("chalkshed_quota_coverage",
-                                    "Share of the tenants' limits that this relay gives out.", {})),
+                                    "Share of the tenants' limits that this relay hands out.", {})),
       own_(std::move(own)), knobs_(knobs),
       levels_(time_source.monotonic_now(), tenant_quota_knobs{}.demand_window),
       timer_(dispatcher.create_timer([this] { tick(); })) {}
@@ -29,11 +31,12 @@
     levels_.set_tenants(tenants, time_source_.monotonic_now());
     limited_ = std::any_of(tenants.all().begin(), tenants.all().end(),
                            [](const tenant &each) { return each.limited(); });
-    begin();
+    start_when_ready();
 }
 
-/** Which nodes there are must be known, or this one would take itself for the only one. */
-void quota_exchange::begin() {
+/** Starts once the peers are known, because this node would otherwise consider itself the only one.
+ */
+void quota_exchange::start_when_ready() {
     if (limited_ && peers_known_) {
         update_role();
         if (!timer_->enabled()) {
@@ -54,12 +57,12 @@
     std::erase_if(views_, unknown);
     const auto gone = static_cast<size_t>(std::count_if(
         peers_.begin(), peers_.end(), [](const relay_candidate &peer) { return peer.gone; }));
-    // Where most are gone, this node is more likely the one that is cut off.
+    // If most nodes are gone, this node is more likely the one that is cut off.
     const bool majority = 2 * gone < peers_.size();
     nodes_ = peers_.size() + 1 - (majority ? gone : 0);
     quota_.set_nodes(nodes_);
     peers_known_ = true;
-    begin();
+    start_when_ready();
 }
 
 const relay_candidate *quota_exchange::find_peer(const std::string &session) const {
@@ -71,7 +74,7 @@
     const bool was_relaying = relaying();
     rank_ = SIZE_MAX;
     report_to_.clear();
-    const auto relays = choose_relays(peers_, own_, own_.zone, knobs_.relays_a_zone);
+    const auto relays = choose_relays(peers_, own_, own_.zone, knobs_.relays_per_zone);
     for (size_t rank = 0; rank < relays.size(); ++rank) {
         if (relays[rank]->session == own_.session) {
             rank_ = rank;
@@ -80,12 +83,12 @@
         }
     }
     if (relaying() && !was_relaying) {
-        begin_relaying();
+        start_relaying();
     }
 }
 
-/** What is left of the limits is taken from the last view, if there was any. */
-void quota_exchange::begin_relaying() {
+/** Levels are taken over from the last view, if there was any. */
+void quota_exchange::start_relaying() {
     const MonotonicTime now = time_source_.monotonic_now();
     logger_.write(LogLevel::kInfo, "quota_relay_began",
                   {{"rank", std::to_string(rank_)},
@@ -98,7 +101,7 @@
     inherited_coverage_ =
         recent ? std::min(static_cast<double>(newest_view_.coverage), reachable) : 0.0;
     if (newest_view_.session.empty()) {
-        levels_.begin_with_credit(now);
+        levels_.reset_with_credit(now);
     } else {
         levels_.reset(now, recent ? tenant_quota_knobs{}.nearly_full * newest_view_.coverage : 0.0,
                       newest_view_.coverage);
@@ -115,16 +118,16 @@
 }
 
 bool quota_exchange::is_silent(MonotonicTime heard) const {
-    return time_source_.monotonic_now() - heard > knobs_.silence;
+    return time_source_.monotonic_now() - heard > knobs_.silence_timeout;
 }
 
-bool quota_exchange::heard_lately(const counted_source &source) const {
+bool quota_exchange::heard_recently(const counted_source &source) const {
     return !is_silent(source.heard);
 }
 
-/** Nobody else can have counted a session that has just begun. */
+/** A session that has just started can't be counted by any other relay. */
 bool quota_exchange::is_counted(const counted_source &source) const {
-    return heard_lately(source) && (source.whole || is_silent(source.heard_since));
+    return heard_recently(source) && (source.whole || is_silent(source.heard_since));
 }
 
 Duration quota_exchange::relay_interval() const {
@@ -139,7 +142,7 @@
     }
     timer_->enable(knobs_.interval);
     const MonotonicTime now = time_source_.monotonic_now();
-    if (relaying() || quota_.has_news() || now - reported_ >= knobs_.idle_interval) {
+    if (relaying() || quota_.has_changes() || now - reported_ >= knobs_.idle_interval) {
         reported_ = now;
         report();
     }
@@ -153,8 +156,8 @@
     quota_message report = quota_.make_report();
     report.session = own_.session;
     if (relaying()) {
-        take_counts(reports_[own_.session], report,
-                    [this](const tenant_count &more) { add_to_zone(more); });
+        apply_counts(reports_[own_.session], report,
+                     [this](const tenant_count &more) { add_to_zone(more); });
     }
     for (const quota_message &page : split_quota_message(report)) {
         const std::string datagram = encode_quota_message(page);
@@ -164,7 +167,7 @@
     }
 }
 
-uint16_t quota_exchange::counted_here() const {
+uint16_t quota_exchange::counted_in_zone() const {
     const auto others = std::count_if(reports_.begin(), reports_.end(), [this](const auto &entry) {
         return entry.first != own_.session && is_counted(entry.second);
     });
@@ -172,26 +175,26 @@
 }
 
 double quota_exchange::coverage() {
-    double counted = counted_here();
+    double counted = counted_in_zone();
     std::set<std::string> zones = {own_.zone};
     for (const auto &[session, source] : sums_) {
         const relay_candidate *sender = find_peer(session);
-        if (sender != nullptr && heard_lately(source) && zones.insert(sender->zone).second) {
+        if (sender != nullptr && heard_recently(source) && zones.insert(sender->zone).second) {
             counted += source.nodes;
         }
     }
     const double heard = counted / std::max(static_cast<double>(nodes_), counted);
     const MonotonicTime now = time_source_.monotonic_now();
-    // At first this relay has not heard all yet that were counted in the view before.
+    // Initially, this relay hasn't yet heard all nodes that the previous view counted.
     const double share = is_silent(began_relaying_) ? heard : std::max(heard, inherited_coverage_);
     if (share >= kMajority) {
-        minority_since_.reset();
+        in_minority_since_.reset();
         return std::min(1.0, share + knobs_.uncounted_share);
     }
-    if (!minority_since_) {
-        minority_since_ = now;
+    if (!in_minority_since_) {
+        in_minority_since_ = now;
     }
-    return now - *minority_since_ > knobs_.most_isolation ? 0.0 : share;
+    return now - *in_minority_since_ > knobs_.max_isolation ? 0.0 : share;
 }
 
 void quota_exchange::relay() {
@@ -205,16 +208,16 @@
     view.coverage = static_cast<float>(share);
     view.levels = levels_.below(tenant_quota_knobs{}.nearly_full, now);
     newest_view_ = view;
-    view.acknowledged = UINT64_MAX; // of this node: its own counts are contained at once
-    quota_.take_view(view);
+    view.acknowledged = UINT64_MAX; // this node's own counts are always included
+    quota_.apply_view(view);
     if (rank_ == 0 || is_silent(first_relay_heard_)) {
         send_views();
         send_zone_sum();
     }
 }
 
-/** The first relay has sent what was counted before, so that this one has nothing to send of it. */
-void quota_exchange::hear_first_relay() {
+/** The first relay has already sent the counts so far, so that this one need not send them. */
+void quota_exchange::note_first_relay() {
     first_relay_heard_ = time_source_.monotonic_now();
     if (!relaying() || rank_ == 0) {
         return;
@@ -248,12 +251,12 @@
     sum.session = own_.session;
     sum.run = run_;
     sum.sequence = ++sums_sent_;
-    sum.nodes = counted_here();
+    sum.nodes = counted_in_zone();
     for (auto &[tenant, count] : zone_) {
         const auto unsent = static_cast<int32_t>(count.total.admitted - count.sent);
         const double least = std::max(knobs_.least_change, knobs_.least_change_share *
                                                                levels_.level(tenant).value_or(0));
-        const bool due = std::abs(unsent) >= least || now - count.sent_at >= knobs_.longest_unsent;
+        const bool due = std::abs(unsent) >= least || now - count.sent_at >= knobs_.max_unsent_time;
         if (count.changed && due) {
             sum.counts.push_back(count.total);
             count.sent = count.total.admitted;
@@ -269,7 +272,7 @@
     const std::vector<quota_message> pages = split_quota_message(sum);
     for (const std::string &zone : zones) {
         for (const relay_candidate *relay :
-             choose_relays(peers_, own_, zone, knobs_.relays_a_zone)) {
+             choose_relays(peers_, own_, zone, knobs_.relays_per_zone)) {
             for (const quota_message &page : pages) {
                 datagrams_.send(relay->address, encode_quota_message(page));
             }
@@ -277,17 +280,17 @@
     }
 }
 
-void quota_exchange::take_counts(counted_source &source, const quota_message &message,
-                                 const std::function<void(const tenant_count &)> &add) {
-    const bool known = source.sequence > 0 && source.run == message.run && heard_lately(source);
+void quota_exchange::apply_counts(counted_source &source, const quota_message &message,
+                                  const std::function<void(const tenant_count &)> &add) {
+    const bool known = source.sequence > 0 && source.run == message.run && heard_recently(source);
     if (source.run == message.run && message.sequence < source.sequence) {
-        return; // overtaken on its way
+        return; // reordered in transit
     }
-    if (!heard_lately(source)) {
+    if (!heard_recently(source)) {
         source.heard_since = time_source_.monotonic_now();
     }
     if (!known) {
-        // What a silent node has admitted was its share, which no one else has been given.
+        // A silent node has admitted only its own share, which was not handed out to others.
         source.whole = message.sequence <= kFirstMessages;
         source.counts.clear();
         source.run = message.run;
@@ -314,15 +317,15 @@
     count.changed = count.changed || more.asked != 0 || more.admitted != 0;
 }
 
-void quota_exchange::take_report(const quota_message &report) {
-    take_counts(reports_[report.session], report,
-                [this](const tenant_count &more) { add_to_zone(more); });
+void quota_exchange::apply_report(const quota_message &report) {
+    apply_counts(reports_[report.session], report,
+                 [this](const tenant_count &more) { add_to_zone(more); });
 }
 
-void quota_exchange::take_sum(const relay_candidate &sender, const quota_message &sum) {
+void quota_exchange::apply_sum(const relay_candidate &sender, const quota_message &sum) {
     const MonotonicTime now = time_source_.monotonic_now();
-    take_counts(sums_[sender.session], sum,
-                [this, now](const tenant_count &more) { levels_.add(more, now); });
+    apply_counts(sums_[sender.session], sum,
+                 [this, now](const tenant_count &more) { levels_.add(more, now); });
 }
 
 bool quota_exchange::receive(std::string_view datagram) {
@@ -335,24 +338,24 @@
         on_unknown_session_();
     }
     if (sender == nullptr || !limited_) {
-        return true; // its announcement has not arrived, or its session is over
+        return true; // its announcement hasn't arrived yet, or its session has ended
     }
-    const bool near = sender->zone == own_.zone;
-    if (message->kind == quota_message_kind::kReport && near && relaying()) {
-        take_report(*message);
-    } else if (message->kind == quota_message_kind::kZoneSum && !near && relaying()) {
-        take_sum(*sender, *message);
-    } else if (message->kind == quota_message_kind::kView && near) {
+    const bool same_zone = sender->zone == own_.zone;
+    if (message->kind == quota_message_kind::kReport && same_zone && relaying()) {
+        apply_report(*message);
+    } else if (message->kind == quota_message_kind::kZoneSum && !same_zone && relaying()) {
+        apply_sum(*sender, *message);
+    } else if (message->kind == quota_message_kind::kView && same_zone) {
         uint64_t &newest = views_[message->session];
         if (message->sequence < newest) {
             return true;
         }
         newest = message->sequence;
-        hear_first_relay();
+        note_first_relay();
         if (!relaying()) {
             newest_view_ = *message;
             newest_view_heard_ = first_relay_heard_;
-            quota_.take_view(*message);
+            quota_.apply_view(*message);
         }
     }
     return true;
--- a/src/tenant_quota/quota_levels.cc
+++ b/src/tenant_quota/quota_levels.cc
@@ -5,12 +5,12 @@
 namespace chalkshed {
 namespace {
 
-/** What was too much is made up for up to the burst and the rate of this time. More can only come
- * of wrong counts, which must not shut a tenant out for long. */
-constexpr double kMostDebtSeconds = 1.0;
+/** Excess admissions are compensated up to the burst plus the rate of this time. A larger debt can
+ * only result from wrong counts, which must not block a tenant for long. */
+constexpr double kMaxDebtSeconds = 1.0;
 
-/** See begin_with_credit(). Without it, all nodes refused 1,100 of 2,100 requests in the two
- * seconds after they had all lost power, measured with 60 nodes in a burst. */
+/** See reset_with_credit(). Without it, the nodes refused 1,100 of 2,100 requests in the two
+ * seconds after all had lost power, measured with 60 nodes in a burst. */
 constexpr double kStartCredit = 0.5;
 
 double seconds_of(Duration duration) {
@@ -51,7 +51,7 @@
 void quota_levels::advance(MonotonicTime now, double coverage) {
     const double seconds = seconds_of(now - advanced_);
     advanced_ = now;
-    // What is left may now be used up by those that are not counted any more, too.
+    // Nodes that are no longer counted may use up part of the remaining quota too.
     const double kept = coverage < coverage_ && coverage_ > 0 ? coverage / coverage_ : 1.0;
     coverage_ = coverage;
     const double credit = kStartCredit * std::max(coverage - credited_, 0.0);
@@ -72,7 +72,7 @@
     }
 }
 
-void quota_levels::begin_with_credit(MonotonicTime now) {
+void quota_levels::reset_with_credit(MonotonicTime now) {
     reset(now, 0.0, 0.0);
     credited_ = 0;
 }
@@ -89,10 +89,10 @@
     if (found == buckets_.end()) {
         return;
     }
-    // Counts wrap, and a request that was admitted and did not run is taken back.
+    // Counts wrap around, and they decrease when an admitted request that did not run is refunded.
     bucket &filled = found->second;
-    const double most_debt = filled.burst + filled.rate * kMostDebtSeconds;
-    filled.level = std::max(filled.level - static_cast<int32_t>(more.admitted), -most_debt);
+    const double max_debt = filled.burst + filled.rate * kMaxDebtSeconds;
+    filled.level = std::max(filled.level - static_cast<int32_t>(more.admitted), -max_debt);
     filled.demand.add(std::max(static_cast<int32_t>(more.asked), 0), now);
 }
 
--- a/src/tenant_quota/quota_message.cc
+++ b/src/tenant_quota/quota_message.cc
@@ -74,11 +74,11 @@
     uint32_t first = whole.first;
     do {
         quota_message page = whole;
-        const size_t counts = std::min(kMostQuotaEntries, whole.counts.size() - at_count);
+        const size_t counts = std::min(kMaxQuotaEntries, whole.counts.size() - at_count);
         const auto count = whole.counts.begin() + static_cast<ptrdiff_t>(at_count);
         page.counts.assign(count, count + static_cast<ptrdiff_t>(counts));
         at_count += counts;
-        const size_t levels = std::min(kMostQuotaEntries - counts, whole.levels.size() - at_level);
+        const size_t levels = std::min(kMaxQuotaEntries - counts, whole.levels.size() - at_level);
         const auto level = whole.levels.begin() + static_cast<ptrdiff_t>(at_level);
         page.levels.assign(level, level + static_cast<ptrdiff_t>(levels));
         at_level += levels;
--- a/tests/tenant_quota/quota_cluster.h
+++ b/tests/tenant_quota/quota_cluster.h
@@ -1,5 +1,5 @@
-// Nodes that share the limits of tenants, in virtual time, over datagrams that are delayed, lost
-// and cut off as a test says.
+// Simulated nodes that share the limits of tenants, in virtual time, over datagrams that tests
+// delay, drop and block.
 #pragma once
 
 #include <deque>
@@ -23,7 +23,7 @@
   return std::chrono::duration<double>(to - from).count();
 }
 
-// The configuration with tenants t0, t1, ... of that rate and burst each.
+// A configuration with tenants t0, t1, ... that each have that rate and burst.
 inline std::string configuration_of(uint64_t version, size_t tenants, double rate, double burst) {
   std::string text = R"({"version": )" + std::to_string(version) +
                      R"(, "services": [], "routes": [], "tenants": [)";
@@ -49,7 +49,7 @@
     }
   }
 
-  // Starts the process of a machine; a former one is gone.
+  // Starts the process of a machine, replacing a previous one.
   void start(size_t index) {
     machines[index].process = nullptr;
     ++machines[index].starts;
@@ -59,7 +59,7 @@
   void kill(size_t index) { machines[index].process = nullptr; }
   bool runs(size_t index) const { return machines[index].process != nullptr; }
 
-  // A request of the tenant at that node. @return whether it was admitted.
+  // Sends a request of the tenant to that node. @return whether it was admitted.
   bool ask(size_t index, const std::string& tenant) {
     if (!runs(index)) {
       return false;
@@ -73,8 +73,7 @@
     }
     return !refused;
   }
-  // Requests at random nodes, at that rate on the mean, for so long.
-  // @param pick draws the node.
+  // Sends requests at that mean rate for that time. @param pick selects the node of each request.
   void drive(const std::string& tenant, double per_second, Duration duration,
              const std::function<size_t()>& pick) {
     const MonotonicTime end = clock.monotonic_now() + duration;
@@ -87,10 +86,11 @@
       clock.run_for(milliseconds(5));
     }
   }
-  size_t any_node() { return static_cast<size_t>(random.below(machines.size())); }
+  size_t random_node() { return static_cast<size_t>(random.below(machines.size())); }
 
-  // The most of the tenant that was admitted within any span of that length.
-  size_t most_within(const std::string& tenant, Duration window) {
+  // @return the maximum number of the tenant's requests that were admitted within any window of
+  // that length.
+  size_t max_within(const std::string& tenant, Duration window) {
     const std::vector<MonotonicTime>& times = admitted[tenant];
     size_t most = 0;
     size_t first = 0;
@@ -136,7 +136,7 @@
     std::string node;
     std::string zone;
     uint64_t starts = 0;
-    int side = 0;  // machines of different sides don't hear each other
+    int side = 0;  // machines on different sides don't hear each other
     std::unique_ptr<Process> process;
   };
 
@@ -147,7 +147,7 @@
             1.0,          fit.contains(index) ? fit.at(index) : true,
             false,        false};
   }
-  // Tells all processes who the others are.
+  // Updates the list of peers of all processes.
   void announce() {
     for (size_t own = 0; own < machines.size(); ++own) {
       if (!runs(own)) {
--- a/tests/tenant_quota/tenant_quota_test.cc
+++ b/tests/tenant_quota/tenant_quota_test.cc
@@ -1,5 +1,5 @@
-// The limit of a tenant over many nodes: how exact it is while all is calm, and how far it is
-// exceeded at worst under cuts, losses, kills and changes.
+// The limit of a tenant over many nodes: its accuracy in normal operation, and the worst excess
+// under partitions, packet loss, process failures and configuration changes.
 #include "chalkshed/tenant_quota.h"
 
 #include <gtest/gtest.h>
@@ -14,8 +14,8 @@
 constexpr size_t kZones = 3;
 constexpr Duration kWindow = seconds(5);
 
-// What the platform allows within a window: see `quota_overrun` and `quota_slack` of its settings.
-double most_allowed(double rate, double burst) {
+// Limit of the platform for a window: see `quota_overrun` and `quota_slack` in its settings.
+double max_allowed(double rate, double burst) {
   return (rate * std::chrono::duration<double>(kWindow).count() + burst) * 1.1 + 20;
 }
 
@@ -26,7 +26,7 @@
 
   TenantQuotaTest() { cluster.clock.run_for(seconds(3)); }
   void drive(double per_second, Duration duration) {
-    cluster.drive("t0", per_second, duration, [this] { return cluster.any_node(); });
+    cluster.drive("t0", per_second, duration, [this] { return cluster.random_node(); });
   }
   double refused() {
     return static_cast<double>(cluster.asked["t0"]) -
@@ -36,7 +36,7 @@
     for (size_t index = 0; index < kNodes; ++index) {
       cluster.machines[index].side = side_of(index);
     }
-    // The loss of a node is noticed after seconds.
+    // A lost node is detected only after seconds.
     call_after(cluster.loop, milliseconds(2500), [this] { cluster.announce(); });
   }
 
@@ -56,15 +56,15 @@
   EXPECT_EQ(refused(), 0);
 }
 
-TEST_F(TenantQuotaTest, AHotTenantGetsItsLimitAndHardlyMore) {
+TEST_F(TenantQuotaTest, ATenantAboveItsLimitGetsItAndHardlyMore) {
   drive(9 * 0.625 * kRate, seconds(10));
   const auto ran = static_cast<double>(cluster.admitted["t0"].size());
   EXPECT_LE(ran, 1.02 * (kRate * 10 + kBurst));
   EXPECT_GE(ran, 0.96 * (kRate * 10 + kBurst));
-  EXPECT_LE(static_cast<double>(cluster.most_within("t0", kWindow)), 1.04 * (kRate * 5 + kBurst));
+  EXPECT_LE(static_cast<double>(cluster.max_within("t0", kWindow)), 1.04 * (kRate * 5 + kBurst));
 }
 
-TEST_F(TenantQuotaTest, AHotTenantOfOneZoneAndOfOneNodeGetsTheWholeLimit) {
+TEST_F(TenantQuotaTest, ATenantWithDemandInOneZoneOrNodeGetsTheWholeLimit) {
   cluster.drive("t0", 5 * kRate, seconds(6), [this] { return 3 * cluster.random.below(20); });
   cluster.drive("t1", 5 * kRate, seconds(6), [] { return size_t{7}; });
   for (const char* tenant : {"t0", "t1"}) {
@@ -74,16 +74,16 @@
   }
 }
 
-TEST_F(TenantQuotaTest, OneTenantsDemandRefusesNothingOfAnother) {
+TEST_F(TenantQuotaTest, OneTenantsDemandDoesNotAffectAnother) {
   const MonotonicTime end = cluster.clock.monotonic_now() + seconds(5);
   while (cluster.clock.monotonic_now() < end) {
     drive(9 * kRate, milliseconds(20));
-    cluster.drive("t1", 0.9 * kRate, milliseconds(10), [this] { return cluster.any_node(); });
+    cluster.drive("t1", 0.9 * kRate, milliseconds(10), [this] { return cluster.random_node(); });
   }
   EXPECT_EQ(cluster.asked["t1"], cluster.admitted["t1"].size());
 }
 
-TEST_F(TenantQuotaTest, ARefusalSaysWhenOneWillFit) {
+TEST_F(TenantQuotaTest, ARefusalHasARetryAfter) {
   drive(9 * kRate, seconds(3));
   ASSERT_TRUE(cluster.last_refusal);
   EXPECT_EQ(cluster.last_refusal->kind, ErrorKind::kLimitExceeded);
@@ -93,7 +93,7 @@
   EXPECT_LT(*cluster.last_refusal->retry_after, seconds(4));
 }
 
-TEST_F(TenantQuotaTest, RefusedCallersComeBackWhenAsManyFit) {
+TEST_F(TenantQuotaTest, RetriesAreSpreadOverTheTimeInWhichTheyFit) {
   drive(3 * kRate, seconds(3));
   Duration earliest = seconds(100);
   Duration latest{0};
@@ -102,17 +102,17 @@
     earliest = std::min(earliest, *cluster.last_refusal->retry_after);
     latest = std::max(latest, *cluster.last_refusal->retry_after);
   }
-  // Two of three are refused: those of a second fit within two.
+  // Two of three are refused: the requests of one second fit within two.
   EXPECT_LT(earliest, milliseconds(300));
   EXPECT_GT(latest, milliseconds(1700));
   EXPECT_LT(latest, milliseconds(2800));
 }
 
-TEST_F(TenantQuotaTest, WhatDidNotRunIsGivenBack) {
+TEST_F(TenantQuotaTest, RequestsThatDidNotRunAreRefunded) {
   size_t admitted = 0;
   for (int round = 0; round < 200; ++round) {
     for (int count = 0; count < 20; ++count) {
-      const size_t node = cluster.any_node();
+      const size_t node = cluster.random_node();
       if (cluster.ask(node, "t0")) {
         ++admitted;
         cluster.machines[node].process->quota.give_back("t0");
@@ -120,30 +120,30 @@
     }
     cluster.clock.run_for(milliseconds(10));
   }
-  EXPECT_EQ(admitted, 4000U) << "2,000 a second, none of which ran";
+  EXPECT_EQ(admitted, 4000U) << "2,000 per second, none of which ran";
 }
 
-TEST_F(TenantQuotaTest, ACutInHalvesAdmitsNoMoreThanTheLimitAllows) {
+TEST_F(TenantQuotaTest, APartitionIntoHalvesAdmitsNoMoreThanAllowed) {
   drive(3 * kRate, seconds(3));
   split([](size_t index) { return static_cast<int>(index % 2); });
   drive(3 * kRate, seconds(12));
-  EXPECT_LE(static_cast<double>(cluster.most_within("t0", kWindow)), most_allowed(kRate, kBurst));
+  EXPECT_LE(static_cast<double>(cluster.max_within("t0", kWindow)), max_allowed(kRate, kBurst));
   const size_t before = cluster.admitted["t0"].size();
   drive(3 * kRate, seconds(5));
   EXPECT_GE(static_cast<double>(cluster.admitted["t0"].size() - before), 0.85 * kRate * 5);
 }
 
-TEST_F(TenantQuotaTest, AThirdThatIsCutOffSinglyAdmitsItsShare) {
+TEST_F(TenantQuotaTest, AThirdOfTheNodesCutOffOneByOneAdmitsItsShare) {
   drive(3 * kRate, seconds(3));
   split([](size_t index) { return index % 3 == 1 ? static_cast<int>(index) : 0; });
   drive(3 * kRate, seconds(12));
-  EXPECT_LE(static_cast<double>(cluster.most_within("t0", kWindow)), most_allowed(kRate, kBurst));
+  EXPECT_LE(static_cast<double>(cluster.max_within("t0", kWindow)), max_allowed(kRate, kBurst));
   for (size_t index = 0; index < kNodes; ++index) {
     cluster.machines[index].side = 0;
   }
   cluster.announce();
   drive(3 * kRate, seconds(6));
-  EXPECT_LE(static_cast<double>(cluster.most_within("t0", kWindow)), most_allowed(kRate, kBurst));
+  EXPECT_LE(static_cast<double>(cluster.max_within("t0", kWindow)), max_allowed(kRate, kBurst));
 }
 
 TEST_F(TenantQuotaTest, ACutOffNodeStillServesItsShareOfASmallDemand) {
@@ -154,7 +154,7 @@
             0.8 * static_cast<double>(cluster.asked["t1"]));
 }
 
-TEST_F(TenantQuotaTest, NewProcessesDontBeginWithFullBuckets) {
+TEST_F(TenantQuotaTest, NewProcessesDontStartWithFullBuckets) {
   drive(3 * kRate, seconds(4));
   for (int round = 0; round < 3; ++round) {
     for (size_t index = 0; index < kNodes; ++index) {
@@ -167,10 +167,10 @@
     drive(3 * kRate, milliseconds(1200));
   }
   drive(3 * kRate, seconds(4));
-  EXPECT_LE(static_cast<double>(cluster.most_within("t0", kWindow)), most_allowed(kRate, kBurst));
+  EXPECT_LE(static_cast<double>(cluster.max_within("t0", kWindow)), max_allowed(kRate, kBurst));
 }
 
-TEST_F(TenantQuotaTest, AfterAStartOfAllNodesUsualDemandIsSoonAdmitted) {
+TEST_F(TenantQuotaTest, AfterAStartOfAllNodesNormalDemandIsSoonAdmitted) {
   for (int round = 0; round < 4; ++round) {
     drive(0.6 * kRate, seconds(2));
     for (size_t index = 0; index < kNodes; ++index) {
@@ -187,7 +187,7 @@
   }
 }
 
-TEST_F(TenantQuotaTest, TheLossOfBothRelaysOfAZoneNeitherOpensNorClosesTheLimit) {
+TEST_F(TenantQuotaTest, TheLossOfBothRelaysOfAZoneKeepsTheLimit) {
   drive(3 * kRate, seconds(3));
   std::vector<size_t> relays;
   for (size_t index = 0; index < kNodes; ++index) {
@@ -204,17 +204,17 @@
   const size_t before = cluster.admitted["t0"].size();
   drive(3 * kRate, seconds(8));
   EXPECT_GE(static_cast<double>(cluster.admitted["t0"].size() - before), 0.85 * kRate * 8);
-  EXPECT_LE(static_cast<double>(cluster.most_within("t0", kWindow)), most_allowed(kRate, kBurst));
+  EXPECT_LE(static_cast<double>(cluster.max_within("t0", kWindow)), max_allowed(kRate, kBurst));
 }
 
-TEST_F(TenantQuotaTest, ALowerLimitHoldsAtOnceAndAHigherOneToo) {
+TEST_F(TenantQuotaTest, LoweredAndRaisedLimitsApplyAtOnce) {
   drive(3 * kRate, seconds(3));
   cluster.configure(configuration_of(2, 3, kRate / 10, kBurst / 10));
   cluster.clock.run_for(milliseconds(100));
   cluster.admitted["t0"].clear();
   drive(3 * kRate, seconds(6));
-  EXPECT_LE(static_cast<double>(cluster.most_within("t0", kWindow)),
-            most_allowed(kRate / 10, kBurst / 10));
+  EXPECT_LE(static_cast<double>(cluster.max_within("t0", kWindow)),
+            max_allowed(kRate / 10, kBurst / 10));
   cluster.configure(configuration_of(3, 3, kRate, kBurst));
   cluster.clock.run_for(milliseconds(300));
   cluster.admitted["t0"].clear();
@@ -243,25 +243,25 @@
   EXPECT_EQ(cluster.datagrams, before);
 }
 
-TEST(TenantQuotaSizeTest, NineNodesHoldTheLimitToo) {
+TEST(TenantQuotaSizeTest, NineNodesEnforceTheLimitToo) {
   QuotaCluster cluster(9, 3, 1, 20, 20);
   cluster.clock.run_for(seconds(3));
-  cluster.drive("t0", 100, seconds(10), [&] { return cluster.any_node(); });
-  EXPECT_LE(static_cast<double>(cluster.most_within("t0", kWindow)), 1.08 * (20 * 5 + 20));
+  cluster.drive("t0", 100, seconds(10), [&] { return cluster.random_node(); });
+  EXPECT_LE(static_cast<double>(cluster.max_within("t0", kWindow)), 1.08 * (20 * 5 + 20));
   EXPECT_GE(static_cast<double>(cluster.admitted["t0"].size()), 0.95 * (20 * 10 + 20));
 }
 
-TEST(TenantQuotaSizeTest, ASmallTenantOnManyNodesGetsWhatItMay) {
+TEST(TenantQuotaSizeTest, ASmallTenantOnManyNodesGetsItsLimit) {
   QuotaCluster cluster(60, 3, 1, 2, 2);
   cluster.clock.run_for(seconds(3));
-  cluster.drive("t0", 1.5, seconds(20), [&] { return cluster.any_node(); });
+  cluster.drive("t0", 1.5, seconds(20), [&] { return cluster.random_node(); });
   EXPECT_EQ(cluster.asked["t0"], cluster.admitted["t0"].size());
-  cluster.drive("t0", 12, seconds(20), [&] { return cluster.any_node(); });
-  EXPECT_LE(static_cast<double>(cluster.most_within("t0", kWindow)), 2 * 5 + 2 + 4);
+  cluster.drive("t0", 12, seconds(20), [&] { return cluster.random_node(); });
+  EXPECT_LE(static_cast<double>(cluster.max_within("t0", kWindow)), 2 * 5 + 2 + 4);
 }
 
-// What happens to the nodes in one step of a random scenario.
-std::string disturb(QuotaCluster& cluster, SeededRandomGenerator& random) {
+// Applies a random failure to the nodes. @return its description.
+std::string apply_random_failure(QuotaCluster& cluster, SeededRandomGenerator& random) {
   const size_t nodes = cluster.machines.size();
   switch (random.below(5)) {
     case 0:
@@ -291,18 +291,18 @@
   }
 }
 
-// Plays a scenario that the seed draws.
-// @param full the bucket is full when the first disturbance comes, and may fill between two of
-// them; else the demand is at least twice the limit all the time.
-// @return what the fullest window holds beyond what is allowed.
-double play_scenario(uint64_t seed, bool full, double& burst, std::ostream& log) {
+// Runs a random scenario.
+// @param full the bucket is full at the first failure, and may refill between failures; otherwise
+// the demand is always at least twice the limit.
+// @return the excess of the fullest window over the allowed number.
+double run_scenario(uint64_t seed, bool full, double& burst, std::ostream& log) {
   SeededRandomGenerator random(seed);
   const size_t nodes = 6 + random.below(30);
   const double rate = 5 + static_cast<double>(random.below(200));
   burst = rate * (0.5 + random.unit());
   QuotaCluster cluster(nodes, 1 + random.below(3), 1, rate, burst, seed);
   const auto drive = [&](double demand, Duration duration) {
-    cluster.drive("t0", demand * rate, duration, [&] { return cluster.any_node(); });
+    cluster.drive("t0", demand * rate, duration, [&] { return cluster.random_node(); });
   };
   cluster.loss = 0.1 * random.unit();
   cluster.jitter = milliseconds(random.below(30));
@@ -310,11 +310,12 @@
   if (!full) {
     drive(4, seconds(6));
   }
-  // Without a full bucket, a window holds one disturbance: each costs up to half a second's rate.
+  // Without a full bucket, a window contains one failure, which costs up to the rate of half a
+  // second.
   const int steps = full ? 8 : 4;
   const int64_t least_ms = full ? 500 : 5000;
   for (int step = 0; step < steps; ++step) {
-    const std::string what = disturb(cluster, random);
+    const std::string what = apply_random_failure(cluster, random);
     const bool noticed = random.below(2) == 0;
     if (noticed) {
       cluster.announce();
@@ -325,28 +326,28 @@
     log << what << (noticed ? ", noticed" : "") << ", " << duration.count()
         << " ms: " << cluster.admitted["t0"].size() - before << " admitted\n";
   }
-  const auto most = static_cast<double>(cluster.most_within("t0", kWindow));
-  log << "most " << most << ", allowed " << most_allowed(rate, burst) << ", nodes " << nodes
+  const auto most = static_cast<double>(cluster.max_within("t0", kWindow));
+  log << "most " << most << ", allowed " << max_allowed(rate, burst) << ", nodes " << nodes
       << ", rate " << rate << ", burst " << burst;
-  return most - most_allowed(rate, burst);
+  return most - max_allowed(rate, burst);
 }
 
-// Whatever happens to nodes and datagrams while a tenant asks for more than its limit.
-RC_GTEST_PROP(TenantQuotaProperty, NoWindowHoldsMoreThanIsAllowed, ()) {
+// Random failures of nodes and datagrams while a tenant's demand exceeds its limit.
+RC_GTEST_PROP(TenantQuotaProperty, NoWindowExceedsTheAllowedNumber, ()) {
   const auto seed = *rc::gen::inRange<uint64_t>(1, 1U << 30U);
   std::stringstream log;
   double burst = 0;
-  const double excess = play_scenario(seed, false, burst, log);
+  const double excess = run_scenario(seed, false, burst, log);
   RC_LOG() << log.str();
   RC_ASSERT(excess <= 0);
 }
 
-// Each part of the system that is cut off just then may spend a burst that has been saved.
-RC_GTEST_PROP(TenantQuotaProperty, ACutAtTheBeginningOfABurstCostsAtMostAnotherBurst, ()) {
+// Each partition that is cut off at that moment may spend the whole saved burst.
+RC_GTEST_PROP(TenantQuotaProperty, APartitionAtTheStartOfABurstCostsAtMostAnotherBurst, ()) {
   const auto seed = *rc::gen::inRange<uint64_t>(1, 1U << 30U);
   std::stringstream log;
   double burst = 0;
-  const double excess = play_scenario(seed, true, burst, log);
+  const double excess = run_scenario(seed, true, burst, log);
   RC_LOG() << log.str();
   RC_ASSERT(excess <= burst);
 }
