--- a/include/chalkshed/caller_identity.h
+++ b/include/chalkshed/caller_identity.h
@@ -2,7 +2,8 @@
 #define CHALKSHED_CALLER_IDENTITY_H
 
 /** \file
- * Who sends a request, and under which name the jobs of a tenant are stored. */
+ * Identifies the caller of a request, and maps job ids to the names under which a tenant's jobs
+ * are stored. */
 
 #include <optional>
 #include <string>
@@ -14,25 +15,25 @@
 namespace chalkshed {
 
 struct caller_identity {
-    /** Empty: nobody in particular, because there are no tenants or the route is open. */
+    /** Empty for an anonymous caller: no tenants are configured, or the route is open. */
     std::string tenant;
-    /** Goes before the priority of the route. */
+    /** Overrides the priority of the route. */
     std::optional<uint32_t> priority;
 };
 
-/** \param route That the request goes to; null for calls about jobs, which need the key of a tenant
- * wherever jobs do.
- * \param authorization The header of that name; empty: none.
+/** \param route The request's route; null for calls about jobs, which need a tenant's key if
+ * creating jobs does.
+ * \param authorization Value of the Authorization header; empty: none.
  * \return The caller. Errors, Ran::kNo: kUnauthenticated. They never contain the key. */
 Expected<caller_identity> identify_caller(const RouteTable &table, const Route *route,
                                           std::string_view authorization);
 
-/** The name under which a job is stored. Each tenant has names of its own, so that whatever one
- * asks of another's job finds what it would find if that job did not exist. \return Nothing if no
- * job can have the id: it is empty, or reads like a stored name itself. */
+/** \return The name under which a job is stored. Tenants have separate namespaces, so that requests
+ * for another tenant's job behave as if that job didn't exist. std::nullopt for ids that no job
+ * can have: empty ones and those in the format of a stored name. */
 std::optional<std::string> stored_job_id(std::string_view tenant, std::string_view id);
 
-/** The id that its caller gave to the job that is stored under that name. */
+/** \return The id that the caller gave to the job with that stored name. */
 std::string caller_job_id(std::string_view stored);
 
 } // namespace chalkshed
--- a/include/chalkshed/tenant_table.h
+++ b/include/chalkshed/tenant_table.h
@@ -2,10 +2,10 @@
 #define CHALKSHED_TENANT_TABLE_H
 
 /** \file
- * The tenants of one version of the configuration, and whose key is whose.
+ * The tenants of one configuration version, and their API keys.
  *
- * A key is found by a hash with a seed that each process draws for itself, so that the time of a
- * look-up depends neither on how many tenants there are nor on the key. */
+ * Keys are looked up by a hash with a random seed per process, so that the time of a look-up
+ * depends neither on the number of tenants nor on the key. */
 
 #include <cstdint>
 #include <optional>
@@ -18,13 +18,13 @@
 
 struct tenant {
     std::string name;
-    /** Any of them names the tenant. */
+    /** Each of them identifies the tenant. */
     std::vector<std::string> keys;
-    /** Goes before the priority of the route; 0 is the most urgent. */
+    /** Overrides the priority of the route; 0 is the most urgent. */
     std::optional<uint32_t> priority;
-    /** Requests a second over all nodes together; 0: no limit. */
+    /** Requests per second over all nodes together; 0: no limit. */
     double rate_per_second = 0;
-    /** Requests that may come at once beyond the rate. */
+    /** Number of requests above the rate that may arrive at once. */
     double burst = 0;
 
     bool limited() const {
@@ -34,10 +34,10 @@
 
 class tenant_table {
 public:
-    /** No tenants are configured: callers need no key. */
+    /** Without configured tenants: callers need no key. */
     tenant_table() = default;
-    /** A key of two tenants belongs to the first of them; an empty key belongs to nobody. Both are
-     * mentioned in warnings(), without the key. */
+    /** A key shared by two tenants belongs to the first one, and an empty key to none. Both are
+     * reported by warnings(), without the key. */
     explicit tenant_table(std::vector<tenant> tenants);
 
     /** Whether callers need a key. */
@@ -51,7 +51,7 @@
     const std::vector<tenant> &all() const {
         return tenants_;
     }
-    /** What an operator should correct, in whole sentences. */
+    /** Configuration errors for the operator, as full sentences. */
     const std::vector<std::string> &warnings() const {
         return warnings_;
     }
--- a/src/tenants/tenant_table.cc
+++ b/src/tenants/tenant_table.cc
@@ -8,7 +8,7 @@
 namespace chalkshed {
 namespace {
 
-/** Without a secret seed, whoever chooses keys could make many of them share a bucket. */
+/** Without a secret seed, an attacker could choose keys that share a hash bucket. */
 uint64_t key_hash(std::string_view key) {
     static const uint64_t kSeed = [] {
         std::random_device device;
@@ -23,13 +23,14 @@
     : enabled_(true), tenants_(std::move(tenants)) {
     for (size_t index = 0; index < tenants_.size(); ++index) {
         if (!by_name_.emplace(tenants_[index].name, index).second) {
-            warnings_.push_back("The tenant '" + tenants_[index].name +
-                                "' is configured twice; its keys count, its first limit holds.");
+            warnings_.push_back(
+                "The tenant '" + tenants_[index].name +
+                "' is configured twice; all its keys are valid, and its first limit applies.");
         }
         for (const std::string &key : tenants_[index].keys) {
             add_key(by_name_.at(tenants_[index].name), key);
         }
-        // A second copy of the keys would only be one more place that holds secrets.
+        // Drops the second copy of the secrets.
         tenants_[index].keys.clear();
     }
 }
@@ -37,7 +38,7 @@
 void tenant_table::add_key(size_t index, const std::string &key) {
     const std::string &name = tenants_[index].name;
     if (key.empty()) {
-        warnings_.push_back("The tenant '" + name + "' has an empty key, which nobody can use.");
+        warnings_.push_back("The tenant '" + name + "' has an empty key, which is ignored.");
         return;
     }
     const tenant *holder = find_by_key(key);
@@ -45,7 +46,7 @@
         by_key_hash_.emplace(key_hash(key), owned_key{key, index});
     } else if (holder->name != name) {
         warnings_.push_back("The tenants '" + holder->name + "' and '" + name +
-                            "' share a key; it counts for the first.");
+                            "' share a key; it belongs to the first.");
     }
 }
 
--- a/tests/tenants/fair_order_test.cc
+++ b/tests/tenants/fair_order_test.cc
@@ -1,4 +1,4 @@
-// Whose request gets the next place, as a rule and at a node whose workers are full.
+// Fairness between tenants: the order itself, and its effect at a node whose workers are full.
 #include "chalkshed/fair_order.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace chalkshed {
 namespace {
 
-TEST(FairOrderTest, ATenantWaitsBehindItselfFirst) {
+TEST(FairOrderTest, RequestsOfATenantQueueBehindEachOther) {
   fair_order order;
   const double hot_1 = order.enter("hot");
   const double hot_2 = order.enter("hot");
@@ -19,7 +19,7 @@
   EXPECT_LT(hot_2, hot_3);
 }
 
-TEST(FairOrderTest, WhoWasQuietHasNoCreditAndWhoWasHotNoDebtForLong) {
+TEST(FairOrderTest, IdleTenantsGainNoCreditAndBusyOnesNoLastingDebt) {
   fair_order order;
   for (int count = 0; count < 100; ++count) {
     order.serve(order.enter("hot"));
@@ -28,7 +28,7 @@
   const double hot = order.enter("hot");
   EXPECT_LT(quiet, hot);
   EXPECT_LE(hot - quiet, 1.0);
-  EXPECT_GE(quiet, 99.0) << "not as if it had waited all the time";
+  EXPECT_GE(quiet, 99.0) << "an idle tenant accumulates no credit";
 }
 
 class WaitingTenantsTest : public testing::Test {
@@ -48,7 +48,7 @@
                                     std::move(request),
                                     std::make_unique<FakeWriter>(answers.back()));
   }
-  // Ends the call that has run longest. @return whose call comes in its place.
+  // Finishes the oldest open call. @return the tenant whose call is sent next.
   std::string next_tenant() {
     const size_t before = cluster.workers.calls.size();
     for (ScriptedCall& call : cluster.workers.calls) {
@@ -69,19 +69,19 @@
   std::vector<SeenAnswerPtr> answers;
 };
 
-TEST_F(WaitingTenantsTest, OneThatSendsManyDelaysItselfFirst) {
+TEST_F(WaitingTenantsTest, ATenantThatSendsManyRequestsDelaysItsOwnFirst) {
   for (int count = 0; count < 12; ++count) {
     ask("hot", "h" + std::to_string(count));
   }
   ask("quiet", "q1");
   ask("calm", "c1");
-  ASSERT_EQ(cluster.workers.calls.size(), 4U) << "all places are taken";
+  ASSERT_EQ(cluster.workers.calls.size(), 4U) << "all slots are taken";
   EXPECT_EQ(next_tenant(), "quiet");
   EXPECT_EQ(next_tenant(), "calm");
   EXPECT_EQ(next_tenant(), "hot");
 }
 
-TEST_F(WaitingTenantsTest, ATenantsPriorityGoesBeforeItsRoutes) {
+TEST_F(WaitingTenantsTest, ATenantsPriorityOverridesItsRoutes) {
   for (int count = 0; count < 6; ++count) {
     ask("usual", "u" + std::to_string(count), 3);
   }
--- a/tests/tenants/node_limits_test.cc
+++ b/tests/tenants/node_limits_test.cc
@@ -1,4 +1,4 @@
-// The limit of a tenant as its callers meet it at whole nodes.
+// Rate limits of tenants as seen by callers of complete nodes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -39,7 +39,7 @@
   int asked_ = 0;
 };
 
-TEST_F(NodeLimitsTest, BeyondTheLimitTheAnswerIs429AtOnceWithWhenToComeBack) {
+TEST_F(NodeLimitsTest, BeyondTheLimitTheAnswerIs429AtOnceWithRetryAfter) {
   for (int count = 0; count < 5; ++count) {
     EXPECT_EQ(ask("ann")->status, 0) << "sent or waiting";
   }
@@ -48,29 +48,29 @@
   EXPECT_FALSE(refused->header("Retry-After").empty());
   EXPECT_EQ(ask("ben")->status, 0) << "another tenant has no limit";
   cluster.clock.run_for(milliseconds(500));
-  EXPECT_EQ(ask("ann")->status, 0) << "five a second come back";
+  EXPECT_EQ(ask("ann")->status, 0) << "the bucket refills at five per second";
 }
 
-TEST_F(NodeLimitsTest, WhoLeavesBeforeAWorkerWasAskedIsNotSentAndCostsNothing) {
+TEST_F(NodeLimitsTest, ARequestClosedBeforeItIsSentIsNotCharged) {
   std::vector<SeenAnswerPtr> answers(5);
   std::generate(answers.begin(), answers.end(), [this] { return ask("ann"); });
-  ASSERT_EQ(cluster.workers.calls.size(), 4U) << "the fifth waits for a place";
+  ASSERT_EQ(cluster.workers.calls.size(), 4U) << "the fifth waits for a slot";
   answers.back()->on_closed();
-  EXPECT_EQ(ask("ann")->status, 0) << "in its place";
+  EXPECT_EQ(ask("ann")->status, 0) << "uses the refunded request";
   cluster.workers.calls.front().begin();
   cluster.workers.calls.front().end();
   cluster.clock.run_for(milliseconds(10));
   EXPECT_EQ(cluster.workers.calls.back().header(platform::kRequestId), "r6");
 }
 
-TEST_F(NodeLimitsTest, WhatAWorkerHasBegunCountsAlthoughItsCallerLeaves) {
+TEST_F(NodeLimitsTest, AStartedRequestIsChargedEvenIfItsCallerDisconnects) {
   std::vector<SeenAnswerPtr> answers(5);
   std::generate(answers.begin(), answers.end(), [this] { return ask("ann"); });
   answers.front()->on_closed();
   EXPECT_EQ(ask("ann")->status, 429);
 }
 
-TEST_F(NodeLimitsTest, WhatAllWorkersRefuseCostsNothing) {
+TEST_F(NodeLimitsTest, ARequestThatAllWorkersRefuseIsNotCharged) {
   cluster.workers.on_call = [this](ScriptedCall& call) {
     call_after(cluster.loop, milliseconds(1), [&call] { call.refuse(); });
   };
@@ -81,18 +81,18 @@
   }
 }
 
-class LimitsOfNodesTest : public NodeLimitsTest {
+class ClusterLimitsTest : public NodeLimitsTest {
  protected:
-  LimitsOfNodesTest() : NodeLimitsTest(4) {}
+  ClusterLimitsTest() : NodeLimitsTest(4) {}
 };
 
-TEST_F(LimitsOfNodesTest, AllNodesTogetherHoldIt) {
+TEST_F(ClusterLimitsTest, AllNodesTogetherEnforceTheLimit) {
   int admitted = 0;
   for (int step = 0; step < 100; ++step) {
     admitted += ask("ann", "n" + std::to_string(step % 4))->status == 429 ? 0 : 1;
     cluster.clock.run_for(milliseconds(20));
   }
-  // Two seconds at five a second, and a burst of five.
+  // Two seconds at five per second, plus a burst of five.
   EXPECT_LE(admitted, 17);
   EXPECT_GE(admitted, 13);
 }
--- a/tests/tenants/tenant_table_test.cc
+++ b/tests/tenants/tenant_table_test.cc
@@ -34,7 +34,7 @@
   return caller ? caller->tenant : "error: " + std::string(error_kind_name(caller.error().kind));
 }
 
-TEST(TenantTableTest, AnyKeyOfATenantNamesIt) {
+TEST(TenantTableTest, AnyKeyOfATenantIdentifiesIt) {
   EXPECT_EQ(tenant_of(two_tenants(), "/r/", "Bearer k1"), "ann");
   EXPECT_EQ(tenant_of(two_tenants(), "/r/", "bearer k2"), "ann");
   EXPECT_EQ(tenant_of(two_tenants(), "/r/", "Bearer k3"), "ben");
@@ -60,13 +60,13 @@
   }
 }
 
-TEST(TenantTableTest, AnOpenRouteTakesEverybodyAndStillKnowsItsTenants) {
+TEST(TenantTableTest, AnOpenRouteAcceptsEveryoneAndStillIdentifiesTenants) {
   EXPECT_EQ(tenant_of(two_tenants(), "/o/", ""), "");
   EXPECT_EQ(tenant_of(two_tenants(), "/o/", "Bearer nobody's"), "");
   EXPECT_EQ(tenant_of(two_tenants(), "/o/", "Bearer k3"), "ben");
 }
 
-TEST(TenantTableTest, WithoutTenantsNobodyNeedsAKey) {
+TEST(TenantTableTest, WithoutTenantsNoKeyIsNeeded) {
   const RouteTable table = table_with("");
   EXPECT_FALSE(table.tenants().enabled());
   EXPECT_EQ(tenant_of(table, "/r/", "Bearer k1"), "");
@@ -80,7 +80,7 @@
   EXPECT_EQ(tenant_of(table, "/o/", ""), "");
 }
 
-TEST(TenantTableTest, ASharedKeyBelongsToTheFirstTenantAndIsMentionedWithoutTheKey) {
+TEST(TenantTableTest, ASharedKeyBelongsToTheFirstTenantAndTheWarningOmitsTheKey) {
   const RouteTable table = table_with(R"(, "tenants": [
         {"name": "ann", "api_keys": ["the-secret"]}, {"name": "ben", "api_keys": ["the-secret"]}])");
   EXPECT_EQ(tenant_of(table, "/r/", "Bearer the-secret"), "ann");
@@ -90,7 +90,7 @@
   EXPECT_EQ(warning.find("the-secret"), std::string::npos);
 }
 
-TEST(TenantTableTest, AnEmptyKeyIsNobodys) {
+TEST(TenantTableTest, AnEmptyKeyIdentifiesNoTenant) {
   const RouteTable table = table_with(R"(, "tenants": [{"name": "ann", "api_keys": [""]}])");
   EXPECT_EQ(tenant_of(table, "/r/", "Bearer "), "error: unauthenticated");
   EXPECT_EQ(table.tenants().warnings().size(), 1U);
@@ -107,7 +107,7 @@
   EXPECT_EQ(tenants.find_by_key("nul"), nullptr);
 }
 
-TEST(TenantTableTest, ATenantThatIsConfiguredTwiceIsMentioned) {
+TEST(TenantTableTest, ATenantConfiguredTwiceCausesAWarning) {
   const RouteTable table = table_with(R"(, "tenants": [
         {"name": "ann", "api_keys": ["k1"], "rate_per_s": 5},
         {"name": "ann", "api_keys": ["k2"], "rate_per_s": 9}])");
@@ -116,7 +116,7 @@
   EXPECT_EQ(table.tenants().warnings().size(), 1U);
 }
 
-TEST(TenantTableTest, TenantsThatCannotBeReadRejectTheConfiguration) {
+TEST(TenantTableTest, MalformedTenantsRejectTheConfiguration) {
   for (const char* tenants :
        {"{}", "null", "7", "\"ann\"", R"([{"api_keys": ["k"]}])", R"(["ann"])",
         R"([{"name": "ann", "api_keys": "k1"}])", R"([{"name": "ann", "api_keys": [1]}])",
@@ -127,20 +127,20 @@
   }
 }
 
-TEST(TenantTableTest, AMissingLimitIsNone) {
+TEST(TenantTableTest, AMissingLimitMeansNoLimit) {
   const RouteTable table =
       table_with(R"(, "tenants": [{"name": "ann", "rate_per_s": null, "burst": 0}])");
   EXPECT_FALSE(table.tenants().find("ann")->limited());
 }
 
-TEST(ApiKeyTest, KeysAreEqualOnlyAsAWhole) {
+TEST(ApiKeyTest, ComparesWholeKeys) {
   EXPECT_TRUE(equal_keys("abc", "abc"));
   EXPECT_FALSE(equal_keys("abc", "abd"));
   EXPECT_FALSE(equal_keys("abc", "ab"));
   EXPECT_FALSE(equal_keys("", "a"));
 }
 
-TEST(StoredJobIdTest, EachTenantHasNamesOfItsOwn) {
+TEST(StoredJobIdTest, EachTenantHasItsOwnNamespace) {
   const std::optional<std::string> ann = stored_job_id("ann", "9c41");
   const std::optional<std::string> ben = stored_job_id("ben", "9c41");
   ASSERT_TRUE(ann && ben);
@@ -151,12 +151,12 @@
   EXPECT_EQ(caller_job_id("9c41"), "9c41");
 }
 
-TEST(StoredJobIdTest, NobodyCanAskForTheStoredNameOfAnothersJob) {
+TEST(StoredJobIdTest, StoredNamesOfOtherTenantsAreRejected) {
   const std::optional<std::string> ann = stored_job_id("ann", "9c41");
   EXPECT_EQ(stored_job_id("", *ann), std::nullopt);
   EXPECT_EQ(stored_job_id("ben", *ann), std::nullopt);
   EXPECT_EQ(stored_job_id("", ""), std::nullopt);
-  EXPECT_TRUE(stored_job_id("", "an~odd~id")) << "ids that only look a little like it are fine";
+  EXPECT_TRUE(stored_job_id("", "an~odd~id")) << "ids that merely contain the separator are valid";
 }
 
 }  // namespace
