--- a/src/once/claim_outcome_writer.cc
+++ b/src/once/claim_outcome_writer.cc
@@ -10,7 +10,7 @@
 
 void ClaimOutcomeWriter::write(ClaimRow row, ClaimRecord record) {
   if (outcomes_.size() >= knobs_.max_pending_outcomes) {
-    forget(outcomes_.begin()->first, "claim_outcome_dropped");
+    finish_outcome(outcomes_.begin()->first, "claim_outcome_dropped");
   }
   const size_t answer_bytes = record.answer ? record.answer->body.size() : 0;
   if (pending_answer_bytes() + answer_bytes > knobs_.max_pending_answer_bytes) {
@@ -34,7 +34,7 @@
 
 void ClaimOutcomeWriter::attempt(OutcomeId id) {
   Outcome& outcome = outcomes_.at(id);
-  ++outcome.tries;
+  ++outcome.attempts;
   if (outcome.row.version) {
     commit(id);
   } else {
@@ -50,12 +50,12 @@
                   return;
                 }
                 if (!row || !*row) {
-                  // An absent row may still appear: its commit can be under way.
-                  return try_later(id);
+                  // A missing row may still appear, since its commit may be in progress.
+                  return retry_later(id);
                 }
                 const Expected<ClaimRecord> record = decode_claim_record((*row)->value);
                 if (!record || record->attempt != found->second.record.attempt) {
-                  return forget(id, "claim_outcome_superseded");
+                  return finish_outcome(id, "claim_outcome_superseded");
                 }
                 found->second.row.version = (*row)->version;
                 commit(id);
@@ -73,23 +73,23 @@
                     return;
                   }
                   if (!result) {
-                    return try_later(id);
+                    return retry_later(id);
                   }
-                  // A condition that fails means that an earlier try took effect and its answer
-                  // was lost: nobody else writes over a claimed row.
-                  forget(id, "claim_outcome_stored");
+                  // A failed condition means that an earlier attempt succeeded and its answer was
+                  // lost: only this writer replaces a claimed row.
+                  finish_outcome(id, "claim_outcome_stored");
                 }));
 }
 
-void ClaimOutcomeWriter::try_later(OutcomeId id) {
+void ClaimOutcomeWriter::retry_later(OutcomeId id) {
   Outcome& outcome = outcomes_.at(id);
-  if (outcome.tries >= knobs_.max_outcome_tries) {
-    return forget(id, "claim_outcome_given_up");
+  if (outcome.attempts >= knobs_.max_outcome_attempts) {
+    return finish_outcome(id, "claim_outcome_given_up");
   }
-  outcome.retry_timer->enable(delay_after(outcome.tries));
+  outcome.retry_timer->enable(delay_after(outcome.attempts));
 }
 
-void ClaimOutcomeWriter::forget(OutcomeId id, std::string_view event) {
+void ClaimOutcomeWriter::finish_outcome(OutcomeId id, std::string_view event) {
   const auto found = outcomes_.find(id);
   const bool stored = event == "claim_outcome_stored";
   logger_.write(stored ? LogLevel::kDebug : LogLevel::kWarning, event,
@@ -97,10 +97,10 @@
   outcomes_.erase(found);
 }
 
-Duration ClaimOutcomeWriter::delay_after(uint32_t tries) const {
-  constexpr uint32_t kLargestDoublings = 16;
-  const uint32_t doublings = std::min(tries - 1, kLargestDoublings);
-  return std::min(knobs_.first_outcome_delay * (1U << doublings), knobs_.largest_outcome_delay);
+Duration ClaimOutcomeWriter::delay_after(uint32_t attempts) const {
+  constexpr uint32_t kMaxDoublings = 16;
+  const uint32_t doublings = std::min(attempts - 1, kMaxDoublings);
+  return std::min(knobs_.first_outcome_delay * (1U << doublings), knobs_.max_outcome_delay);
 }
 
 }  // namespace chalkshed
--- a/src/once/claim_outcome_writer.h
+++ b/src/once/claim_outcome_writer.h
@@ -1,4 +1,4 @@
-// Brings the outcomes of claims to the store, however long that takes within bounds.
+// Writes the outcomes of claims to the store, with retries up to a limit.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +13,11 @@
 
 namespace chalkshed {
 
-// What the writer knows of the claim's row.
+// The claim's row as known to the writer.
 struct ClaimRow {
   RowKey key;
-  // Empty when the claim's commit answer was lost and reading it back failed: the row is then
-  // looked up by its attempt first.
+  // Empty if the claim's commit answer was lost and reading it back failed: the row is then first
+  // looked up by its attempt.
   std::optional<RowVersion> version;
 };
 
@@ -26,16 +26,16 @@
   ClaimOutcomeWriter(TableStore& store, Dispatcher& dispatcher, Logger& logger,
                      const ClaimKnobs& knobs);
 
-  // Writes `record` over the claim's row, provided that the row still is of record.attempt.
+  // Replaces the claim's row with `record`, provided that the row still belongs to record.attempt.
   void write(ClaimRow row, ClaimRecord record);
-  // @return outcomes that are not stored yet; a planned stop waits for them.
+  // @return the number of outcomes that are not stored yet; a planned stop waits for them.
   size_t pending() const { return outcomes_.size(); }
 
  private:
   struct Outcome {
     ClaimRow row;
     ClaimRecord record;
-    uint32_t tries = 0;
+    uint32_t attempts = 0;
     TimerPtr retry_timer;
   };
   using OutcomeId = uint64_t;
@@ -44,9 +44,9 @@
   void attempt(OutcomeId id);
   void look_up(OutcomeId id);
   void commit(OutcomeId id);
-  void try_later(OutcomeId id);
-  void forget(OutcomeId id, std::string_view event);
-  Duration delay_after(uint32_t tries) const;
+  void retry_later(OutcomeId id);
+  void finish_outcome(OutcomeId id, std::string_view event);
+  Duration delay_after(uint32_t attempts) const;
 
   TableStore& store_;
   Dispatcher& dispatcher_;
--- a/src/once/claim_record.cc
+++ b/src/once/claim_record.cc
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-// CBOR, because answers of plain back ends may hold any bytes.
+// CBOR, because answers of plain HTTP back ends may contain arbitrary bytes.
 std::string encode_claim_record(const ClaimRecord& record) {
   Json value = {{"state", kStateNames[static_cast<int>(record.state)]},
                 {"request_digest", record.request_digest},
@@ -90,7 +90,7 @@
 }
 
 RowKey claim_row_key(const std::string& tenant, const std::string& idempotency_key) {
-  // The length in front keeps ("a/b", "c") and ("a", "b/c") apart.
+  // The length prefix distinguishes ("a/b", "c") from ("a", "b/c").
   const std::string name = std::to_string(tenant.size()) + "/" + tenant + "/" + idempotency_key;
   const auto bucket = static_cast<uint32_t>(content_hash(name) % kClaimBuckets);
   return {kClaimsTable, claim_bucket_prefix(bucket) + name};
@@ -103,7 +103,7 @@
   if (!idempotency_key.empty() && idempotency_key.size() <= kMaxIdempotencyKeyBytes && printable) {
     return std::nullopt;
   }
-  return not_run(ErrorKind::kInvalidRequest, "the Idempotency-Key is not usable",
+  return not_run(ErrorKind::kInvalidRequest, "the Idempotency-Key is invalid",
                  "send 1 to " + std::to_string(kMaxIdempotencyKeyBytes) +
                      " printable ASCII characters, new for each request and the same for its "
                      "resends");
--- a/src/once/claim_registry.cc
+++ b/src/once/claim_registry.cc
@@ -3,29 +3,29 @@
 namespace chalkshed {
 namespace {
 
-// A resend while the first run is under way often finds it finished after this long.
+// If the first run is in progress at a resend, it has often finished after this time.
 constexpr Duration kUnfinishedRetryAfter = std::chrono::seconds(2);
 
 Error store_unavailable(const Error& cause) {
   Error error =
       not_run(ErrorKind::kStoreUnavailable, "the request could not be claimed: " + cause.message,
-              "send it again with the same Idempotency-Key");
+              "retry with the same Idempotency-Key");
   error.retry_after = cause.retry_after;
   return error;
 }
 
 Error key_conflict() {
-  return not_run(ErrorKind::kConflict, "the Idempotency-Key was used for another request",
-                 "use a new key for a new request; a resend must be the same byte for byte");
+  return not_run(ErrorKind::kConflict, "the Idempotency-Key was used for a different request",
+                 "use a new key for a new request; a resend must be identical byte for byte");
 }
 
 Error unfinished(const ClaimRecord& holder) {
-  Error error =
-      maybe_run(ErrorKind::kOutcomeUnknown,
-                "a request with this Idempotency-Key was claimed by node " + holder.node +
-                    " and has not finished",
-                "ask again with the same key for its answer; it is never run a second time. If it "
-                "stays so, check the effect at its target");
+  Error error = maybe_run(
+      ErrorKind::kOutcomeUnknown,
+      "a request with this Idempotency-Key was claimed by node " + holder.node +
+          " and has not finished",
+      "retry with the same key to get its answer; it is never run a second time. If the error "
+      "persists, check the effect at its target");
   error.retry_after = kUnfinishedRetryAfter;
   return error;
 }
@@ -33,7 +33,7 @@
 Error answer_not_kept() {
   return maybe_run(ErrorKind::kOutcomeUnknown,
                    "the request with this Idempotency-Key ran, but its answer was too large to "
-                   "keep",
+                   "store",
                    "check the effect at its target; it is never run a second time");
 }
 
@@ -60,113 +60,114 @@
       outcome_writer_(store_, dependencies.dispatcher, dependencies.logger, knobs) {}
 
 void ClaimRegistry::claim(ClaimRequest request, ClaimCallback callback) {
-  auto round = std::make_shared<Round>();
-  round->key = claim_row_key(request.tenant, request.idempotency_key);
-  round->record.request_digest = std::move(request.request_digest);
-  round->record.attempt = next_attempt();
-  round->record.node = node_id_;
+  auto call = std::make_shared<ClaimCall>();
+  call->key = claim_row_key(request.tenant, request.idempotency_key);
+  call->record.request_digest = std::move(request.request_digest);
+  call->record.attempt = next_attempt();
+  call->record.node = node_id_;
   const auto wall_time = time_source_.wall_now().time_since_epoch();
-  round->record.claimed_at_seconds =
+  call->record.claimed_at_seconds =
       std::chrono::duration_cast<std::chrono::seconds>(wall_time).count();
-  round->callback = std::move(callback);
-  insert(round);
+  call->callback = std::move(callback);
+  insert(call);
 }
 
-void ClaimRegistry::insert(const RoundPtr& round) {
-  ++round->inserts;
+void ClaimRegistry::insert(const ClaimCallPtr& call) {
+  ++call->inserts;
   Transaction transaction;
   if (knobs_.safeguards.conditional_insert) {
-    transaction.conditions.push_back({round->key, round->expected_version});
+    transaction.conditions.push_back({call->key, call->expected_version});
   }
-  transaction.writes.push_back({round->key, encode_claim_record(round->record)});
+  transaction.writes.push_back({call->key, encode_claim_record(call->record)});
   store_.commit(std::move(transaction),
-                lifetime_.guard([this, round](const Expected<CommitResult>& result) {
-                  on_insert(round, result);
+                lifetime_.guard([this, call](const Expected<CommitResult>& result) {
+                  on_insert(call, result);
                 }));
 }
 
-// Safe though an earlier insert may still be applied: both hold the same attempt and the same
+// Safe even if an earlier insert is still applied: both have the same attempt and the same
 // condition, so at most one of them takes effect.
-void ClaimRegistry::insert_again(const RoundPtr& round) {
-  if (round->inserts < knobs_.max_inserts) {
-    return insert(round);
+void ClaimRegistry::insert_again(const ClaimCallPtr& call) {
+  if (call->inserts < knobs_.max_inserts) {
+    return insert(call);
   }
   const Error cause =
-      not_run(ErrorKind::kStoreUnavailable, "the table's answers were lost again and again", "");
-  refuse(round, store_unavailable(cause));
+      not_run(ErrorKind::kStoreUnavailable, "the store's answers were lost repeatedly", "");
+  refuse(call, store_unavailable(cause));
 }
 
-void ClaimRegistry::on_insert(const RoundPtr& round, const Expected<CommitResult>& result) {
+void ClaimRegistry::on_insert(const ClaimCallPtr& call, const Expected<CommitResult>& result) {
   if (result && result->committed) {
-    return grant(round, result->versions.front());
+    return grant(call, result->versions.front());
   }
   if (result) {
-    return read_holder(round);
+    return read_holder(call);
   }
   if (result.error().ran == Ran::kNo) {
-    return refuse(round, store_unavailable(result.error()));
+    return refuse(call, store_unavailable(result.error()));
   }
-  round->may_stand = true;
+  call->may_be_stored = true;
   if (!knobs_.safeguards.read_back_lost_commit) {
-    return grant(round, std::nullopt);
+    return grant(call, std::nullopt);
   }
-  read_holder(round);
+  read_holder(call);
 }
 
-void ClaimRegistry::read_holder(const RoundPtr& round) {
-  store_.read(round->key, lifetime_.guard([this, round](const Expected<std::optional<Row>>& row) {
-    on_holder(round, row);
+void ClaimRegistry::read_holder(const ClaimCallPtr& call) {
+  store_.read(call->key, lifetime_.guard([this, call](const Expected<std::optional<Row>>& row) {
+    on_holder(call, row);
   }));
 }
 
-void ClaimRegistry::on_holder(const RoundPtr& round, const Expected<std::optional<Row>>& row) {
+void ClaimRegistry::on_holder(const ClaimCallPtr& call, const Expected<std::optional<Row>>& row) {
   if (!row) {
-    return refuse(round, store_unavailable(row.error()));
+    return refuse(call, store_unavailable(row.error()));
   }
   if (!*row) {
-    return insert_again(round);
+    return insert_again(call);
   }
   const Expected<ClaimRecord> holder = decode_claim_record((*row)->value);
   if (!holder) {
-    return refuse(round, holder.error());
+    return refuse(call, holder.error());
   }
-  answer_from(round, **row, *holder);
+  resolve_from(call, **row, *holder);
 }
 
-void ClaimRegistry::answer_from(const RoundPtr& round, const Row& row, const ClaimRecord& holder) {
-  if (holder.attempt == round->record.attempt) {
-    return grant(round, row.version);  // the insert whose answer was lost took effect
+void ClaimRegistry::resolve_from(const ClaimCallPtr& call, const Row& row,
+                                 const ClaimRecord& holder) {
+  if (holder.attempt == call->record.attempt) {
+    return grant(call, row.version);  // the insert whose answer was lost took effect
   }
-  const bool same_request = holder.request_digest == round->record.request_digest;
+  const bool same_request = holder.request_digest == call->record.request_digest;
   if (knobs_.safeguards.digest_checked && !same_request) {
-    return refuse(round, key_conflict());
+    return refuse(call, key_conflict());
   }
   switch (holder.state) {
     case ClaimState::kClaimed:
-      return refuse(round, unfinished(holder));
+      return refuse(call, unfinished(holder));
     case ClaimState::kFinished:
       if (!holder.answer) {
-        return refuse(round, answer_not_kept());
+        return refuse(call, answer_not_kept());
       }
-      return round->callback(OnceClaimResult(*holder.answer));
+      return call->callback(OnceClaimResult(*holder.answer));
     case ClaimState::kNotRun:
-      round->expected_version = row.version;
-      return insert_again(round);
+      call->expected_version = row.version;
+      return insert_again(call);
   }
 }
 
-void ClaimRegistry::grant(const RoundPtr& round, std::optional<RowVersion> version) {
-  round->callback(OnceClaimResult(
-      std::make_unique<Claim>(*this, ClaimRow{round->key, version}, round->record)));
+void ClaimRegistry::grant(const ClaimCallPtr& call, std::optional<RowVersion> version) {
+  call->callback(
+      OnceClaimResult(std::make_unique<Claim>(*this, ClaimRow{call->key, version}, call->record)));
 }
 
-void ClaimRegistry::refuse(const RoundPtr& round, Error error) {
-  if (round->may_stand) {
-    ClaimRecord record = round->record;
+void ClaimRegistry::refuse(const ClaimCallPtr& call, Error error) {
+  if (call->may_be_stored) {
+    ClaimRecord record = call->record;
     record.state = ClaimState::kNotRun;
-    outcome_writer_.write({round->key, std::nullopt}, std::move(record));
+    outcome_writer_.write({call->key, std::nullopt}, std::move(record));
   }
-  round->callback(tl::unexpected(std::move(error)));
+  call->callback(tl::unexpected(std::move(error)));
 }
 
 std::string ClaimRegistry::next_attempt() {
--- a/src/once/claim_registry.h
+++ b/src/once/claim_registry.h
@@ -1,8 +1,8 @@
-// Claims that let a request run at most once over all nodes, resends and store faults.
+// Claims that make a request run at most once across all nodes, resends and store failures.
 //
-// A request is claimed in the platform's table before it is dispatched. Whoever holds the claim
-// dispatches; everyone else is answered from the record. A claim is never taken from its holder, so
-// a holder that was paused for any time still is the only one that dispatched.
+// A request is claimed in the platform's table before it is dispatched. The holder of the claim
+// dispatches it; all others are answered from the record. A claim is never taken from its holder,
+// so a holder that was paused for any time is still the only one that dispatched the request.
 #pragma once
 
 #include <functional>
@@ -21,15 +21,15 @@
 class ClaimRegistry;
 
 // The right to dispatch one request once. Destroying it without finish() or release() leaves the
-// key claimed: resends hear that the outcome is unknown.
+// key claimed: resends are told that the outcome is unknown.
 class Claim {
  public:
   Claim(ClaimRegistry& registry, ClaimRow row, ClaimRecord record)
       : registry_(registry), row_(std::move(row)), record_(std::move(record)) {}
 
-  // The request ran; `answer` is what resends get. Empty when it was not kept whole.
+  // The request ran; resends get `answer`, which is empty if it was not stored completely.
   void finish(std::optional<HttpResponse> answer);
-  // The request certainly was not dispatched and will not be; the key may be claimed again.
+  // The request was not dispatched and never will be; the key may be claimed again.
   void release();
 
  private:
@@ -39,9 +39,9 @@
 };
 using ClaimPtr = std::unique_ptr<Claim>;
 
-// Either the right to dispatch, or the answer of the run that already finished.
+// The right to dispatch, or the answer of the run that has already finished.
 using OnceClaimResult = std::variant<ClaimPtr, HttpResponse>;
-// Called once, with a result that the receiver takes over.
+// Called exactly once; the receiver takes ownership of the result.
 using ClaimCallback = std::function<void(Expected<OnceClaimResult>)>;
 
 struct ClaimRequest {
@@ -55,37 +55,38 @@
   ClaimRegistry(const NodeIdentity& identity, NodeDependencies& dependencies,
                 const ClaimKnobs& knobs);
 
-  // Errors: kConflict (not run: the key names another request), kOutcomeUnknown (claimed by a run
-  // that is under way or whose outcome is lost, or finished without a stored answer),
+  // Errors: kConflict (not run: the key belongs to a different request), kOutcomeUnknown (claimed
+  // by a run that is in progress or whose outcome is lost, or finished without a stored answer),
   // kStoreUnavailable (not run).
   void claim(ClaimRequest request, ClaimCallback callback);
 
-  // @return outcomes that wait for the store.
+  // @return the number of outcomes that aren't stored yet.
   size_t pending_outcomes() const { return outcome_writer_.pending(); }
 
  private:
   friend class Claim;
-  // One call of claim() under way.
-  struct Round {
+  // A call of claim() in progress.
+  struct ClaimCall {
     RowKey key;
     ClaimRecord record;
     ClaimCallback callback;
-    RowVersion expected_version = 0;  // of the row that the claim replaces
+    RowVersion expected_version = 0;  // version of the row that the claim replaces
     uint32_t inserts = 0;
-    bool may_stand = false;  // an insert's answer was lost: the claim may be in the store
+    bool may_be_stored = false;  // an insert's answer was lost: the claim may be in the store
   };
-  using RoundPtr = std::shared_ptr<Round>;
-
-  void insert(const RoundPtr& round);
-  void on_insert(const RoundPtr& round, const Expected<CommitResult>& result);
-  // Inserts once more unless that was tried too often.
-  void insert_again(const RoundPtr& round);
-  void read_holder(const RoundPtr& round);
-  void on_holder(const RoundPtr& round, const Expected<std::optional<Row>>& row);
-  void answer_from(const RoundPtr& round, const Row& row, const ClaimRecord& holder);
-  void grant(const RoundPtr& round, std::optional<RowVersion> version);
-  // Refuses the request. A claim that may stand in the store is released, since it is never used.
-  void refuse(const RoundPtr& round, Error error);
+  using ClaimCallPtr = std::shared_ptr<ClaimCall>;
+
+  void insert(const ClaimCallPtr& call);
+  void on_insert(const ClaimCallPtr& call, const Expected<CommitResult>& result);
+  // Retries the insert unless max_inserts is reached.
+  void insert_again(const ClaimCallPtr& call);
+  void read_holder(const ClaimCallPtr& call);
+  void on_holder(const ClaimCallPtr& call, const Expected<std::optional<Row>>& row);
+  void resolve_from(const ClaimCallPtr& call, const Row& row, const ClaimRecord& holder);
+  void grant(const ClaimCallPtr& call, std::optional<RowVersion> version);
+  // Refuses the request. If its claim may be in the store, it is released, since it will not be
+  // used.
+  void refuse(const ClaimCallPtr& call, Error error);
   std::string next_attempt();
 
   const std::string node_id_;
--- a/src/once/claim_retention_knobs.h
+++ b/src/once/claim_retention_knobs.h
@@ -1,4 +1,4 @@
-// Tunables and safeguards of the removal of old claims.
+// Tunables and safeguards of the removal of expired claims.
 #pragma once
 
 #include <cstdint>
@@ -7,30 +7,30 @@
 
 namespace chalkshed {
 
-// Mechanisms that carry the at-most-once guarantee. Switched off only by proofs.
+// Mechanisms that implement the at-most-once guarantee. Disabled only by tests that show that each
+// is necessary.
 struct ClaimRetentionSafeguards {
-  // A row is removed only if it still is the version that was judged.
+  // A row is removed only if its version is still the one that was examined.
   bool conditional_removal = true;
-  // A claim whose outcome is not known is kept for `unfinished_retention`.
+  // A claim with an unknown outcome is kept for `unfinished_retention`.
   bool unfinished_kept_longer = true;
 };
 
 struct ClaimRetentionKnobs {
-  // Age after which a claim whose outcome is known is removed. A resend later than that is a new
-  // request.
+  // Age after which a claim with a known outcome is removed. A later resend is a new request.
   Duration retention = std::chrono::hours(24);
-  // Age after which a claim is removed although its outcome never became known.
+  // Age after which a claim is removed even if its outcome never became known.
   Duration unfinished_retention = std::chrono::hours(24 * 7);
-  // Added to both, for the difference of the wall clocks of the claiming and the sweeping node.
+  // Added to both, to allow for different wall clocks of the claiming and the sweeping node.
   Duration clock_margin = std::chrono::minutes(10);
-  // Every bucket of keys is swept once in this time, by the node that owns it.
+  // Every bucket is swept once in this time by the node that owns it.
   Duration sweep_interval = std::chrono::hours(12);
-  // Pause between two pages. A page costs one scan and, if it holds old rows, one commit.
+  // Interval between two pages. A page costs one scan and, if it has expired rows, one commit.
   Duration page_interval = std::chrono::seconds(5);
-  // Rows in a page. Their answers may be large, so a page is kept small.
+  // Rows per page. Kept small because answers may be large.
   uint32_t page_rows = 32;
-  // Pause after the store failed; longer when the store asks for it.
-  Duration failure_pause = std::chrono::minutes(1);
+  // Delay after a store failure; longer if the store asks for it.
+  Duration failure_delay = std::chrono::minutes(1);
   ClaimRetentionSafeguards safeguards;
 };
 
--- a/src/once/claim_sweep.cc
+++ b/src/once/claim_sweep.cc
@@ -17,10 +17,10 @@
       members_(members),
       knobs_(knobs),
       removed_(dependencies.metrics.counter("chalkshed_claims_removed_total",
-                                            "Claims removed because of their age.", {})),
+                                            "Claims removed because they had expired.", {})),
       unreadable_(dependencies.metrics.counter("chalkshed_claims_unreadable_total",
-                                               "Rows of the claims that could not be read.", {})),
-      // Nodes begin at different buckets, so that they do not sweep at the same moments.
+                                               "Malformed rows in the claims table.", {})),
+      // Nodes start at different buckets, so that they don't sweep at the same times.
       bucket_(static_cast<uint32_t>(content_hash(identity.id) % kClaimBuckets)),
       bucket_timer_(dependencies.dispatcher.create_timer([this] { next_bucket(); })),
       page_timer_(dependencies.dispatcher.create_timer([this] { scan_page(); })) {}
@@ -33,7 +33,7 @@
   if (!owns(bucket_)) {
     return;
   }
-  bucket_timer_->disable();  // until the bucket's last page is done
+  bucket_timer_->disable();  // until the bucket's last page is finished
   after_key_.clear();
   scan_page();
 }
@@ -50,26 +50,26 @@
   request.limit = knobs_.page_rows;
   store_.scan(std::move(request), lifetime_.guard([this](const Expected<ScanPage>& page) {
     if (page) {
-      take_page(*page);
+      process_page(*page);
     } else {
-      pause_after(page.error());
+      delay_after_failure(page.error());
     }
   }));
 }
 
-void ClaimSweep::take_page(const ScanPage& page) {
-  more_ = page.more && !page.rows.empty();
+void ClaimSweep::process_page(const ScanPage& page) {
+  more_pages_ = page.more && !page.rows.empty();
   page_end_ = page.rows.empty() ? after_key_ : page.rows.back().key;
-  std::vector<RowCondition> old;
+  std::vector<RowCondition> expired_rows;
   for (const Row& row : page.rows) {
-    if (removable(row)) {
-      old.push_back({{kClaimsTable, row.key}, row.version});
+    if (expired(row)) {
+      expired_rows.push_back({{kClaimsTable, row.key}, row.version});
     }
   }
-  remove(std::move(old));
+  remove(std::move(expired_rows));
 }
 
-bool ClaimSweep::removable(const Row& row) {
+bool ClaimSweep::expired(const Row& row) {
   const Expected<ClaimRecord> record = decode_claim_record(row.value);
   if (!record) {
     unreadable_.add(1);
@@ -97,14 +97,14 @@
   store_.commit(
       std::move(transaction),
       lifetime_.guard([this, rows = std::move(rows)](const Expected<CommitResult>& result) mutable {
-        take_removal(rows, result);
+        handle_removal(rows, result);
       }));
 }
 
-void ClaimSweep::take_removal(const std::vector<RowCondition>& rows,
-                              const Expected<CommitResult>& result) {
+void ClaimSweep::handle_removal(const std::vector<RowCondition>& rows,
+                                const Expected<CommitResult>& result) {
   if (!result) {
-    return pause_after(result.error());  // and scan the page again, whatever became of it
+    return delay_after_failure(result.error());  // then the page is scanned again in any case
   }
   if (result->committed) {
     removed_.add(static_cast<double>(rows.size()));
@@ -117,24 +117,24 @@
                  return std::find(failed.begin(), failed.end(), row.key) == failed.end();
                });
   if (unchanged.size() == rows.size()) {
-    return page_done();  // no condition was named, so nothing can be told apart
+    return page_done();  // the store named no failed condition, so the changed rows are unknown
   }
   remove(std::move(unchanged));
 }
 
 void ClaimSweep::page_done() {
   after_key_ = page_end_;
-  if (more_) {
+  if (more_pages_) {
     page_timer_->enable(knobs_.page_interval);
   } else {
     bucket_timer_->enable(knobs_.sweep_interval / kClaimBuckets);
   }
 }
 
-void ClaimSweep::pause_after(const Error& error) {
+void ClaimSweep::delay_after_failure(const Error& error) {
   logger_.write(LogLevel::kWarning, "claim_sweep_paused", {{"message", error.message}});
   const Duration asked = error.retry_after.value_or(Duration{0});
-  page_timer_->enable(std::max<Duration>(knobs_.failure_pause, asked));
+  page_timer_->enable(std::max<Duration>(knobs_.failure_delay, asked));
 }
 
 }  // namespace chalkshed
--- a/src/once/claim_sweep.h
+++ b/src/once/claim_sweep.h
@@ -1,8 +1,9 @@
-// Removes claims that are older than any resend, slowly and beside the online path.
+// Removes claims that are too old for resends, slowly in the background.
 //
-// The rows fall into kClaimBuckets buckets by the hash of their key. Each node walks round the
-// buckets and sweeps those that it owns; where two nodes both believe to own one, they only work
-// twice, because a row is removed on the condition that it still is as it was judged.
+// Rows are divided into kClaimBuckets buckets by the hash of their key. Each node cycles through
+// the buckets and sweeps those that it owns. If two nodes both consider themselves the owner, this
+// only causes redundant work, because a row is removed only if it is unchanged since it was
+// examined.
 #pragma once
 
 #include <optional>
@@ -28,13 +29,13 @@
   void next_bucket();
   bool owns(uint32_t bucket) const;
   void scan_page();
-  void take_page(const ScanPage& page);
-  bool removable(const Row& row);
-  // Removes what is judged removable; rows that changed since are left for the next sweep.
+  void process_page(const ScanPage& page);
+  bool expired(const Row& row);
+  // Removes these rows; rows that have changed since are left for the next sweep.
   void remove(std::vector<RowCondition> rows);
-  void take_removal(const std::vector<RowCondition>& rows, const Expected<CommitResult>& result);
+  void handle_removal(const std::vector<RowCondition>& rows, const Expected<CommitResult>& result);
   void page_done();
-  void pause_after(const Error& error);
+  void delay_after_failure(const Error& error);
 
   const std::string node_id_;
   TimeSource& time_source_;
@@ -45,9 +46,9 @@
   Counter& removed_;
   Counter& unreadable_;
   uint32_t bucket_;
-  bool more_ = false;      // the page under way is not the bucket's last
-  std::string after_key_;  // last key of the pages that are done
-  std::string page_end_;   // last key of the page under way
+  bool more_pages_ = false;  // the page in progress is not the bucket's last
+  std::string after_key_;    // last key of the finished pages
+  std::string page_end_;     // last key of the page in progress
   TimerPtr bucket_timer_;
   TimerPtr page_timer_;
   Lifetime lifetime_;
--- a/tests/once/claim_registry_test.cc
+++ b/tests/once/claim_registry_test.cc
@@ -6,7 +6,7 @@
 namespace chalkshed {
 namespace {
 
-TEST(ClaimRecordTest, SurvivesEncodingWithAnyBytes) {
+TEST(ClaimRecordTest, RoundTripWithArbitraryBytes) {
   ClaimRecord record;
   record.state = ClaimState::kFinished;
   record.request_digest = "d";
--- a/tests/once/claim_sweep_test.cc
+++ b/tests/once/claim_sweep_test.cc
@@ -1,4 +1,4 @@
-// The removal of old claims, over the emulated table in virtual time.
+// Removal of expired claims, with the emulated table in virtual time.
 #include "src/once/claim_sweep.h"
 
 #include <gtest/gtest.h>
@@ -11,10 +11,11 @@
 
 using std::chrono::hours;
 
-// Counts scans and commits that delete rows; calls `before_removal` ahead of the next of these.
-class WatchedTable : public TableStore {
+// Counts scans and commits that delete rows; calls `before_removal` once before the next such
+// commit.
+class RecordingTable : public TableStore {
  public:
-  explicit WatchedTable(TableStore& inner) : inner_(inner) {}
+  explicit RecordingTable(TableStore& inner) : inner_(inner) {}
   void read(RowKey key, Callback<std::optional<Row>> callback) override {
     inner_.read(std::move(key), std::move(callback));
   }
@@ -57,7 +58,7 @@
     sweep.start();
   }
 
-  WatchedTable table;
+  RecordingTable table;
   NodeDependencies dependencies;
   NodeIdentity identity;
   ClaimRegistry registry;
@@ -79,7 +80,7 @@
     cluster_.run(100);
     return result;
   }
-  // @return whether the caller would be the one to dispatch.
+  // @return whether the caller got the right to dispatch.
   static bool granted(const std::optional<Expected<OnceClaimResult>>& result) {
     return result && *result && std::holds_alternative<ClaimPtr>(**result);
   }
@@ -98,7 +99,7 @@
   std::vector<std::unique_ptr<SweepingNode>> nodes_;
 };
 
-TEST_F(ClaimSweepTest, FinishedClaimsGoAfterTheRetentionAndNotSooner) {
+TEST_F(ClaimSweepTest, FinishedClaimsAreRemovedAfterTheRetentionAndNotSooner) {
   start();
   finish("k");
   run_hours(24);
@@ -106,14 +107,14 @@
   const auto resent = claim("k");
   ASSERT_TRUE(resent && *resent);
   EXPECT_EQ(std::get<HttpResponse>(**resent).body, "done");
-  run_hours(13);  // a sweep and the margin of the clocks later
+  run_hours(13);  // after another sweep and the clock margin
   EXPECT_FALSE(stored("k"));
   EXPECT_TRUE(granted(claim("k"))) << "after the retention a resend is a new request";
 }
 
 TEST_F(ClaimSweepTest, UnfinishedClaimsAreKeptLonger) {
   start();
-  ASSERT_TRUE(granted(claim("k")));  // its holder never tells the outcome
+  ASSERT_TRUE(granted(claim("k")));  // its holder never reports the outcome
   run_hours(24 * 7);
   EXPECT_TRUE(stored("k"));
   EXPECT_FALSE(granted(claim("k")));
@@ -130,16 +131,16 @@
   EXPECT_TRUE(granted(claim("k")));
 }
 
-// A released key is claimed anew between the judgement and the removal.
+// A released key is claimed again between the examination and the removal of its row.
 class ClaimSweepRaceTest : public ClaimSweepTest {
  protected:
-  // @return whether the new claim still stands after the sweep.
+  // @return whether the new claim is still there after the sweep.
   bool claim_survives(const ClaimRetentionKnobs& knobs) {
     start(1, knobs);
     auto first = claim("k");
     std::get<ClaimPtr>(**first)->release();
     cluster_.run(100);
-    // Another row of the same page is old too and must go all the same.
+    // Another expired row of the same page must still be removed.
     MemoryTable& table = cluster_.platform.table();
     const RowKey key = claim_row_key("tenant", "k");
     const RowKey neighbour = {kClaimsTable, key.key + "-neighbour"};
@@ -158,7 +159,7 @@
   }
 };
 
-TEST_F(ClaimSweepRaceTest, AKeyClaimedAnewIsNotRemoved) { EXPECT_TRUE(claim_survives({})); }
+TEST_F(ClaimSweepRaceTest, AKeyThatIsClaimedAgainIsNotRemoved) { EXPECT_TRUE(claim_survives({})); }
 
 TEST_F(ClaimSweepRaceTest, WithoutTheConditionTheNewClaimIsLost) {
   ClaimRetentionKnobs knobs;
@@ -166,7 +167,7 @@
   EXPECT_FALSE(claim_survives(knobs));
 }
 
-TEST_F(ClaimSweepTest, NodesShareTheBucketsAndGoOnAfterAnOutage) {
+TEST_F(ClaimSweepTest, NodesShareTheBucketsAndContinueAfterAnOutage) {
   ClaimRetentionKnobs knobs;
   knobs.page_rows = 3;  // fewer than a bucket holds
   start(3, knobs);
@@ -182,7 +183,7 @@
   EXPECT_LE(cluster_.platform.table().size(), before - 300);
   for (const auto& node : nodes_) {
     EXPECT_GT(node->table.removals, 0);
-    // Four sweeps of 64 buckets, 100 pages in each of them, and a try a minute in the outage.
+    // Four sweeps of 64 buckets, 100 pages in each sweep, and one attempt per minute in the outage.
     EXPECT_LT(node->table.scans, 4 * (64 + 100) + 6 * 60);
   }
 }
