--- a/include/chalkshed/crash_evidence.h
+++ b/include/chalkshed/crash_evidence.h
@@ -109,8 +109,8 @@
     explicit crash_evidence(const crash_knobs &knobs = {});
 
     /** A run starts or finishes on this node, whatever its result. */
-    void note_begun(uint64_t digest, MonotonicTime now);
-    void note_over(uint64_t digest);
+    void note_started(uint64_t digest, MonotonicTime now);
+    void note_finished(uint64_t digest);
     /** Records a run that was lost here or that a peer reported. \return Whether it was new. */
     bool note_broken(const broken_run &run);
     /** Updates run.weak after it has become known whether other runs were lost at the same time. */
@@ -175,7 +175,7 @@
     /** Crashes so long after the content was quarantined that only probes can have caused them. */
     size_t failed_probes(const content &known) const;
     Duration probe_delay(size_t failed) const;
-    void evict_one();
+    void evict_if_full();
 
     const crash_knobs knobs_;
     std::unordered_map<uint64_t, content> contents_;
--- a/include/chalkshed/load_relay.h
+++ b/include/chalkshed/load_relay.h
@@ -115,7 +115,7 @@
      * an empty list. */
     void set_peers(std::vector<relay_candidate> peers);
     /** Drops the reports of relays that have become silent; to be called a few times per second. */
-    void forget_silent();
+    void expire_silent();
 
     /** Sets the source of this node's known table versions, and the callback for those that relays
      * report. */
--- a/include/chalkshed/request_quarantine.h
+++ b/include/chalkshed/request_quarantine.h
@@ -54,8 +54,8 @@
     std::function<bool(uint64_t digest, MonotonicTime not_before)> take =
         [](uint64_t, MonotonicTime) { return true; };
     std::function<void(uint64_t digest)> note_running = [](uint64_t) {};
-    std::function<void(uint64_t digest, MonotonicTime not_before)> note_over = [](uint64_t,
-                                                                                  MonotonicTime) {};
+    std::function<void(uint64_t digest, MonotonicTime not_before)> note_finished =
+        [](uint64_t, MonotonicTime) {};
 };
 
 class request_quarantine {
@@ -66,7 +66,7 @@
                        const quarantine_knobs &knobs = {});
 
     /** Whether a request with that content would be refused now. */
-    bool holds(uint64_t digest) const;
+    bool refuses(uint64_t digest) const;
     /** Requests permission to run the content. If the result is kWait, other nodes have been asked
      * for a turn where one is needed, and on_permits_changed is called when to ask again. \param
      * lost_worker See run_claim. */
@@ -79,7 +79,7 @@
     /** Records the start of a run. \return A callback to invoke once the run has finished, whatever
      * its result. It may be invoked after this object is destroyed, since runs are destroyed in a
      * later iteration of the event loop. */
-    std::function<void()> note_begun(uint64_t digest);
+    std::function<void()> note_started(uint64_t digest);
     /** \param sent When the run was sent to the worker.
      * \param silent The worker stopped responding while its connection stayed open: most such
      * workers are busy. */
@@ -125,7 +125,7 @@
         on_reviewed_ = std::move(callback);
     }
     /** \param tries Whether this node is the one that probes that quarantined content. */
-    void set_tries(std::function<bool(uint64_t digest)> may_probe) {
+    void set_may_probe(std::function<bool(uint64_t digest)> may_probe) {
         may_probe_ = std::move(may_probe);
     }
     /** \param age Upper bound on the age of this node's worker list. */
--- a/include/chalkshed/run_turns.h
+++ b/include/chalkshed/run_turns.h
@@ -50,7 +50,7 @@
      * content. */
     void note_running(uint64_t digest);
     /** The last run of this node has finished. \param not_before See take. */
-    void note_over(uint64_t digest, MonotonicTime not_before);
+    void note_finished(uint64_t digest, MonotonicTime not_before);
     /** \param not_before Until when no node may run a content, as far as this node knows. */
     void set_not_before(std::function<MonotonicTime(uint64_t digest)> not_before) {
         not_before_ = std::move(not_before);
--- a/include/chalkshed/turn_keeper.h
+++ b/include/chalkshed/turn_keeper.h
@@ -39,7 +39,7 @@
     /** The node has runs of the content that started without a turn. */
     void note_running(uint64_t digest, const std::string &node, MonotonicTime now);
     /** The node's runs have finished. \param not_before See ask. */
-    void note_over(uint64_t digest, const std::string &node, MonotonicTime not_before);
+    void note_finished(uint64_t digest, const std::string &node, MonotonicTime not_before);
     size_t size() const {
         return contents_.size();
     }
--- a/include/chalkshed/turn_message.h
+++ b/include/chalkshed/turn_message.h
@@ -15,7 +15,7 @@
 
 namespace chalkshed {
 
-enum class turn_word {
+enum class turn_entry_type {
     kAsk,
     kGranted,
     /** Not yet: the sender has to ask again. */
@@ -27,7 +27,7 @@
 };
 
 struct turn_entry {
-    turn_word type = turn_word::kAsk;
+    turn_entry_type type = turn_entry_type::kAsk;
     uint64_t digest = 0;
     /** For kAsk and kOver: how long no node may run the content, as far as the sender knows. */
     Duration wait{0};
--- a/include/chalkshed/worker_outcomes.h
+++ b/include/chalkshed/worker_outcomes.h
@@ -17,9 +17,9 @@
 
 struct outcome_knobs {
     /** After a failure, a worker is sent nothing for this long; the time doubles with each
-     * consecutive failure, up to longest_pause. */
+     * consecutive failure, up to max_backoff. */
     Duration backoff = std::chrono::milliseconds(250);
-    Duration longest_pause = std::chrono::seconds(4);
+    Duration max_backoff = std::chrono::seconds(4);
     /** For this long after a failure without a later success, a worker is sent only requests that
      * can be retried elsewhere. */
     Duration suspicion_period = std::chrono::seconds(8);
--- a/src/node/serving_node.cc
+++ b/src/node/serving_node.cc
@@ -150,8 +150,8 @@
 // One of all nodes tries again what is held, and removes what is not held any more.
 void ServingNode::connect_quarantine() {
   const auto is_first = [this](uint64_t digest) { return peers_.rank(digest_text(digest)) == 0; };
-  quarantine_.set_tries(is_first);
-  quarantine_rows_.set_removes(is_first);
+  quarantine_.set_may_probe(is_first);
+  quarantine_rows_.set_is_remover(is_first);
   quarantine_.set_view_age([this] { return worker_table_.age(); });
   quarantine_.set_turns({[this](uint64_t digest, MonotonicTime not_before) {
                            return run_turns_.take(digest, not_before);
@@ -159,7 +159,7 @@
                          [this](uint64_t digest) { run_turns_.note_running(digest); },
                          // Requests in progress end with this node, after its turns.
                          lifetime_.guard([this](uint64_t digest, MonotonicTime not_before) {
-                           run_turns_.note_over(digest, not_before);
+                           run_turns_.note_finished(digest, not_before);
                          })});
   quarantine_.set_on_permits_changed([this] { place_soon(); });
   run_turns_.set_not_before(
--- a/src/outcomes/worker_outcomes.cc
+++ b/src/outcomes/worker_outcomes.cc
@@ -35,7 +35,7 @@
 Duration worker_outcomes::backoff_after(uint32_t failures) const {
     constexpr uint32_t kMaxDoublings = 4;
     const uint32_t doublings = std::min(failures - 1, kMaxDoublings);
-    return std::min(knobs_.backoff * (1U << doublings), knobs_.longest_pause);
+    return std::min(knobs_.backoff * (1U << doublings), knobs_.max_backoff);
 }
 
 bool worker_outcomes::paused(MonotonicTime now) const {
--- a/src/quarantine/crash_evidence.cc
+++ b/src/quarantine/crash_evidence.cc
@@ -25,7 +25,7 @@
     return time;
 }
 
-void crash_evidence::note_begun(uint64_t digest, MonotonicTime now) {
+void crash_evidence::note_started(uint64_t digest, MonotonicTime now) {
     ++under_way_[digest];
     const auto found = contents_.find(digest);
     if (found != contents_.end() && is_quarantined(found->second)) {
@@ -33,7 +33,7 @@
     }
 }
 
-void crash_evidence::note_over(uint64_t digest) {
+void crash_evidence::note_finished(uint64_t digest) {
     const auto found = under_way_.find(digest);
     if (found != under_way_.end() && --found->second == 0) {
         under_way_.erase(found);
@@ -42,7 +42,7 @@
 
 bool crash_evidence::note_broken(const broken_run &run) {
     if (!contents_.contains(run.digest)) {
-        evict_one();
+        evict_if_full();
     }
     content &known = contents_[run.digest];
     const auto same =
@@ -267,7 +267,7 @@
 
 // A caller that sends thousands of contents while workers crash must not displace quarantined
 // contents.
-void crash_evidence::evict_one() {
+void crash_evidence::evict_if_full() {
     if (contents_.size() < knobs_.max_contents) {
         return;
     }
--- a/src/quarantine/run_turns.cc
+++ b/src/quarantine/run_turns.cc
@@ -70,7 +70,8 @@
     }
     if (asked.asked == MonotonicTime{} || now - asked.asked >= knobs_.request_interval) {
         asked.asked = now;
-        send_entry(*keeper, {turn_word::kAsk, digest, std::max(not_before - now, Duration(0))});
+        send_entry(*keeper,
+                   {turn_entry_type::kAsk, digest, std::max(not_before - now, Duration(0))});
     }
     return false;
 }
@@ -90,19 +91,19 @@
 
 void run_turns::note_running(uint64_t digest) {
     if (const peer *keeper = keeper_of(digest)) {
-        send_entry(*keeper, {turn_word::kRunning, digest, Duration(0)});
+        send_entry(*keeper, {turn_entry_type::kRunning, digest, Duration(0)});
     } else {
         keeper_.note_running(digest, session_, time_source_.monotonic_now());
     }
 }
 
-void run_turns::note_over(uint64_t digest, MonotonicTime not_before) {
+void run_turns::note_finished(uint64_t digest, MonotonicTime not_before) {
     requests_.erase(digest);
     if (const peer *keeper = keeper_of(digest)) {
         const Duration wait = not_before - time_source_.monotonic_now();
-        send_entry(*keeper, {turn_word::kOver, digest, std::max(wait, Duration(0))});
+        send_entry(*keeper, {turn_entry_type::kOver, digest, std::max(wait, Duration(0))});
     } else {
-        keeper_.note_over(digest, session_, not_before);
+        keeper_.note_finished(digest, session_, not_before);
     }
 }
 
@@ -131,20 +132,20 @@
 void run_turns::handle_entry(const peer &from, const turn_entry &entry) {
     const MonotonicTime now = time_source_.monotonic_now();
     switch (entry.type) {
-    case turn_word::kAsk: {
+    case turn_entry_type::kAsk: {
         const bool granted = keeper_.ask(entry.digest, from.session, not_before(entry, now), now);
-        send_entry(from,
-                   {granted ? turn_word::kGranted : turn_word::kBusy, entry.digest, Duration(0)});
+        send_entry(from, {granted ? turn_entry_type::kGranted : turn_entry_type::kBusy,
+                          entry.digest, Duration(0)});
         return;
     }
-    case turn_word::kRunning:
+    case turn_entry_type::kRunning:
         keeper_.note_running(entry.digest, from.session, now);
         return;
-    case turn_word::kOver:
-        keeper_.note_over(entry.digest, from.session, not_before(entry, now));
+    case turn_entry_type::kOver:
+        keeper_.note_finished(entry.digest, from.session, not_before(entry, now));
         return;
-    case turn_word::kGranted:
-    case turn_word::kBusy:
+    case turn_entry_type::kGranted:
+    case turn_entry_type::kBusy:
         handle_answer(entry, now);
         return;
     }
@@ -156,7 +157,7 @@
         return; // the request has finished meanwhile; the turn expires
     }
     found->second.answered = now;
-    if (entry.type == turn_word::kGranted) {
+    if (entry.type == turn_entry_type::kGranted) {
         found->second.granted = now;
         on_granted_();
     }
--- a/src/quarantine/turn_message.cc
+++ b/src/quarantine/turn_message.cc
@@ -10,20 +10,20 @@
 namespace {
 
 constexpr std::array kEntryTypes = {
-    std::pair{turn_word::kAsk, wire::TurnWord::kAsk},
-    std::pair{turn_word::kGranted, wire::TurnWord::kGranted},
-    std::pair{turn_word::kBusy, wire::TurnWord::kBusy},
-    std::pair{turn_word::kOver, wire::TurnWord::kOver},
-    std::pair{turn_word::kRunning, wire::TurnWord::kRunning},
+    std::pair{turn_entry_type::kAsk, wire::TurnWord::kAsk},
+    std::pair{turn_entry_type::kGranted, wire::TurnWord::kGranted},
+    std::pair{turn_entry_type::kBusy, wire::TurnWord::kBusy},
+    std::pair{turn_entry_type::kOver, wire::TurnWord::kOver},
+    std::pair{turn_entry_type::kRunning, wire::TurnWord::kRunning},
 };
 
-wire::TurnWord to_wire_type(turn_word type) {
+wire::TurnWord to_wire_type(turn_entry_type type) {
     const auto *const found = std::find_if(kEntryTypes.begin(), kEntryTypes.end(),
                                            [&](const auto &pair) { return pair.first == type; });
     return found == kEntryTypes.end() ? wire::TurnWord::kUnknown : found->second;
 }
 
-std::optional<turn_word> from_wire_type(wire::TurnWord type) {
+std::optional<turn_entry_type> from_wire_type(wire::TurnWord type) {
     const auto *const found = std::find_if(kEntryTypes.begin(), kEntryTypes.end(),
                                            [&](const auto &pair) { return pair.second == type; });
     return found == kEntryTypes.end() ? std::nullopt : std::optional(found->first);
--- a/src/serving/request_relay.cc
+++ b/src/serving/request_relay.cc
@@ -70,7 +70,7 @@
 }
 
 bool RequestRelay::end_if_held() {
-  if (!environment_.quarantine.holds(request_.digest)) {
+  if (!environment_.quarantine.refuses(request_.digest)) {
     return false;
   }
   if (runs_ > 0) {
--- a/tests/quarantine/crash_evidence_test.cc
+++ b/tests/quarantine/crash_evidence_test.cc
@@ -83,9 +83,9 @@
 TEST(CrashEvidence, AllowsOneRunOfASuspectContentAtATime) {
     crash_evidence evidence;
     lose_runs(evidence, 1);
-    evidence.note_begun(kContent, at(seconds(2)));
+    evidence.note_started(kContent, at(seconds(2)));
     EXPECT_EQ(evidence.permit(kContent, {}, at(seconds(2))), run_permit::kWait);
-    evidence.note_over(kContent);
+    evidence.note_finished(kContent);
     EXPECT_EQ(evidence.permit(kContent, {}, at(seconds(2))), run_permit::kExclusive);
 }
 
@@ -152,9 +152,9 @@
               run_permit::kQuarantined);
     EXPECT_EQ(evidence.permit(kContent, {.may_probe = true}, first), run_permit::kExclusive);
     // The probe crashes a worker too.
-    evidence.note_begun(kContent, first);
+    evidence.note_started(kContent, first);
     evidence.note_broken({kContent, 4, first + milliseconds(60), false});
-    evidence.note_over(kContent);
+    evidence.note_finished(kContent);
     EXPECT_EQ(evidence.next_probe(kContent),
               first + milliseconds(60) + knobs.probe_backoff_factor * knobs.first_probe_delay);
 }
@@ -174,8 +174,8 @@
     crash_evidence evidence(knobs);
     lose_runs(evidence, 3);
     const MonotonicTime first = evidence.next_probe(kContent);
-    evidence.note_begun(kContent, first); // its caller disconnects
-    evidence.note_over(kContent);
+    evidence.note_started(kContent, first); // its caller disconnects
+    evidence.note_finished(kContent);
     EXPECT_EQ(evidence.next_probe(kContent), first + knobs.first_probe_delay);
 }
 
--- a/tests/quarantine/ending_fleet.h
+++ b/tests/quarantine/crashing_fleet.h
@@ -1,5 +1,5 @@
-#ifndef CHALKSHED_TESTS_QUARANTINE_ENDING_FLEET_H
-#define CHALKSHED_TESTS_QUARANTINE_ENDING_FLEET_H
+#ifndef CHALKSHED_TESTS_QUARANTINE_CRASHING_FLEET_H
+#define CHALKSHED_TESTS_QUARANTINE_CRASHING_FLEET_H
 
 /** \file
  * Simulated nodes and workers. A worker that starts one of the fatal contents crashes a little
--- a/tests/quarantine/many_copies_test.cc
+++ b/tests/quarantine/many_copies_test.cc
@@ -19,7 +19,7 @@
 
 #include <algorithm>
 
-#include "tests/quarantine/ending_fleet.h"
+#include "tests/quarantine/crashing_fleet.h"
 
 namespace chalkshed {
 namespace {
--- a/tests/quarantine/turn_keeper_test.cc
+++ b/tests/quarantine/turn_keeper_test.cc
@@ -23,7 +23,7 @@
     turn_keeper keeper;
     EXPECT_TRUE(keeper.ask(kContent, "a", kStart, kStart));
     EXPECT_FALSE(keeper.ask(kContent, "b", kStart, at(milliseconds(10))));
-    keeper.note_over(kContent, "a", kStart);
+    keeper.note_finished(kContent, "a", kStart);
     EXPECT_TRUE(keeper.ask(kContent, "b", kStart, at(milliseconds(20))));
     EXPECT_FALSE(keeper.ask(kContent, "a", kStart, at(milliseconds(30))));
 }
@@ -49,7 +49,7 @@
     EXPECT_TRUE(keeper.ask(kContent, "b", kStart, settled));
     // Its run crashes a worker.
     const MonotonicTime later = at(milliseconds(140));
-    keeper.note_over(kContent, "b", later);
+    keeper.note_finished(kContent, "b", later);
     EXPECT_FALSE(keeper.ask(kContent, "a", settled, at(milliseconds(101))));
     EXPECT_TRUE(keeper.ask(kContent, "a", settled, later));
 }
@@ -61,7 +61,7 @@
     EXPECT_FALSE(keeper.ask(kContent, "b", kStart, at(knobs.turn_timeout)));
     EXPECT_TRUE(keeper.ask(kContent, "b", kStart, at(knobs.turn_timeout + milliseconds(1))));
     // A late report doesn't end another node's turn.
-    keeper.note_over(kContent, "a", kStart);
+    keeper.note_finished(kContent, "a", kStart);
     EXPECT_FALSE(keeper.ask(kContent, "c", kStart, at(knobs.turn_timeout + milliseconds(2))));
 }
 
@@ -70,9 +70,9 @@
     keeper.note_running(kContent, "a", kStart);
     keeper.note_running(kContent, "b", kStart);
     EXPECT_FALSE(keeper.ask(kContent, "c", kStart, at(milliseconds(10))));
-    keeper.note_over(kContent, "a", kStart);
+    keeper.note_finished(kContent, "a", kStart);
     EXPECT_FALSE(keeper.ask(kContent, "c", kStart, at(milliseconds(20))));
-    keeper.note_over(kContent, "b", kStart);
+    keeper.note_finished(kContent, "b", kStart);
     EXPECT_TRUE(keeper.ask(kContent, "c", kStart, at(milliseconds(30))));
 }
 
