--- a/src/node/serving_node.cc
+++ b/src/node/serving_node.cc
@@ -93,8 +93,8 @@
           tables.worker_table, worker_table_, [this] { return workers_source(); },
           [this] { return peers_.zone_peers(); }, knobs.workers_copy) {
   job_environment_.view_age = [this] { return job_table_.age(); };
-  workers_.set_on_place_freed([this] { place_soon(); });
-  gateway_.set_on_short_of_places([this](size_t count) { jobs_.preempt_items(count); });
+  workers_.set_on_slot_freed([this] { place_soon(); });
+  gateway_.set_on_slot_shortage([this](size_t count) { jobs_.preempt_items(count); });
   workers_.set_on_load_changed([this] { peers_.load_changed(); });
   jobs_.set_on_queue_changed([this] { peers_.load_changed(); });
   jobs_.set_on_ownership_changed([this] { pace_jobs(); });
@@ -253,7 +253,7 @@
 
 // The requests that end now free their places; nobody is left to take them.
 ServingNode::~ServingNode() {
-  workers_.set_on_place_freed(nullptr);
+  workers_.set_on_slot_freed(nullptr);
   workers_.set_on_load_changed(nullptr);
 }
 
@@ -278,7 +278,7 @@
   }
   dependencies_.dispatcher.post(lifetime_.guard([this] {
     placing_soon_ = false;
-    gateway_.place_waiting();
+    gateway_.dispatch_waiting();
     jobs_.start_items();
   }));
 }
--- a/src/serving/worker_attempt.cc
+++ b/src/serving/worker_attempt.cc
@@ -14,7 +14,7 @@
 
 WorkerAttempt::WorkerAttempt(TimeSource& time_source, HttpClient& client,
                              const ServingProtocol& protocol, WorkerSet& workers,
-                             request_quarantine& quarantine, WorkerPlacePtr place,
+                             request_quarantine& quarantine, WorkerSlotPtr place,
                              const WorkerSend& send, const AttemptOptions& options,
                              AttemptObserver& observer)
     : time_source_(time_source),
