--- a/src/node/serving_node.h
+++ b/src/node/serving_node.h
@@ -89,11 +89,11 @@
   first_copy_knobs workers_copy;
   // A node that the store has not answered for so long takes no keys, because one of them may have
   // been taken away; nothing: it goes on by what it knows.
-  std::optional<Duration> longest_unconfirmed;
+  std::optional<Duration> max_unconfirmed_time;
   // A planned stop serves on for this long, until callers are sent elsewhere.
-  Duration least_drain = std::chrono::milliseconds(2600);
+  Duration min_drain_time = std::chrono::milliseconds(2600);
   // It ends after this long whatever still runs: the process is killed soon after.
-  Duration longest_drain = std::chrono::milliseconds(7500);
+  Duration max_drain_time = std::chrono::milliseconds(7500);
 };
 
 class ServingNode {
