--- a/src/node/admin_access.cc
+++ b/src/node/admin_access.cc
@@ -28,9 +28,10 @@
     if (is_loopback(request.peer.ip)) {
       return std::nullopt;
     }
-    return not_run(ErrorKind::kUnauthenticated,
-                   "this node has no operator key, so it answers operators only on its own machine",
-                   "set [admin] key in the node's settings, or ask from the node's machine");
+    return not_run(
+        ErrorKind::kUnauthenticated,
+        "this node has no operator key, so it serves operator requests from loopback only",
+        "set [admin] key in the node's settings, or send the request from the node's machine");
   }
   const auto header = find_header(request.headers, "Authorization");
   const std::string_view token = header ? bearer_token(*header) : std::string_view();
@@ -40,8 +41,8 @@
   return not_run(
       ErrorKind::kUnauthenticated,
       token.empty() ? "the request carries no operator key" : "the operator key is wrong",
-      "send 'Authorization: Bearer <key>' with [admin] key of the node's settings; "
-      "chalkshedctl takes it from --key or $CHALKSHED_KEY");
+      "send 'Authorization: Bearer <key>' with the [admin] key of the node's settings; "
+      "chalkshedctl reads it from --key or $CHALKSHED_KEY");
 }
 
 }  // namespace chalkshed
--- a/src/node/admin_access.h
+++ b/src/node/admin_access.h
@@ -1,4 +1,4 @@
-// Who may use the operators' paths, /admin/...
+// Access control for the operator paths, /admin/...
 #pragma once
 
 #include <optional>
@@ -11,18 +11,18 @@
 
 class AdminAccess {
  public:
-  // @param key what operators send as a bearer token; empty: only loopback peers are answered.
+  // @param key bearer token that operators send; if empty, only loopback peers are served.
   explicit AdminAccess(std::string key) : key_(std::move(key)) {}
 
-  // @return why a request to an operators' path is refused, or nothing. Other paths are let
-  // through. Errors, Ran::kNo: kUnauthenticated.
+  // @return the error with which a request to an operator path is refused, or nothing. Requests
+  // to other paths are allowed. Errors, Ran::kNo: kUnauthenticated.
   std::optional<Error> refusal(const HttpRequest& request) const;
 
  private:
   const std::string key_;
 };
 
-// @return whether the IP number is one of this machine's own loopback (127.0.0.0/8, ::1).
+// @return whether the IP address is a loopback address (127.0.0.0/8, ::1).
 bool is_loopback(const std::string& ip);
 
 }  // namespace chalkshed
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -15,14 +15,14 @@
                           outer.metrics};
 }
 
-// Paths that operators, probes and peers need while the node stops.
+// Paths that operators, health probes and peers use while the node drains.
 bool served_while_draining(const HttpRequest& request) {
   return !request.path.starts_with("/v1/") && !request.path.starts_with("/services/");
 }
 
 HttpResponse draining_response() {
-  Error error =
-      not_run(ErrorKind::kDraining, "this node is stopping", "send the request to another node");
+  Error error = not_run(ErrorKind::kDraining, "this node is shutting down",
+                        "send the request to another node");
   error.retry_after = std::chrono::seconds(1);
   HttpResponse response = error_response(error);
   response.headers.push_back({"Connection", "close"});
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-// Counts a request from its arrival until its writer is gone.
+// Counts a request as open from its arrival until its writer is destroyed.
 class Node::OpenRequest : public ResponseWriter {
  public:
   OpenRequest(ResponseWriterPtr inner, std::shared_ptr<size_t> count)
@@ -108,7 +108,8 @@
   try {
     dispatch(std::move(request), std::make_unique<OpenRequest>(std::move(writer), open_requests_));
   } catch (const std::exception& exception) {
-    // A defect; the writer is gone, so the caller sees a broken connection, never a wrong answer.
+    // A bug in a handler. Its writer has been destroyed, so the caller sees a broken connection
+    // rather than a wrong response.
     dependencies_.logger.write(LogLevel::kError, "handler_failed",
                                {{"path", path}, {"what", exception.what()}});
   }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,5 +1,5 @@
-// One chalkshed node: all its roles, wired together. Free of sockets; the daemon and the simulator
-// give it their own dependencies.
+// One chalkshed node: all its components, wired together. It uses no sockets itself; the daemon
+// and the simulator inject their own dependencies.
 #pragma once
 
 #include <functional>
@@ -25,7 +25,7 @@
 
 namespace chalkshed {
 
-// Tunables of all roles.
+// Parameters of all components.
 struct NodeKnobs {
   SharedMachineListKnobs machine_list;
   MembershipKnobs membership;
@@ -36,9 +36,9 @@
   GatewayKnobs gateway;
   BatchKnobs batch;
   ClaimRetentionKnobs claim_retention;
-  // What operators send as a bearer token; empty: only loopback peers may use /admin/.
+  // Bearer token that operators send; if empty, only loopback peers may use /admin/.
   std::string admin_key;
-  // A planned stop looks this often whether the requests under way have ended.
+  // How often a drain checks whether the requests in progress have finished.
   Duration drain_poll_interval = std::chrono::milliseconds(20);
 };
 
@@ -51,13 +51,13 @@
   Node& operator=(const Node&) = delete;
 
   void start();
-  // Serves callers and operators.
+  // Serves requests of callers and operators.
   void handle(HttpRequest request, ResponseWriterPtr writer) override;
-  // Planned stop: the node is not ready any more, refuses new requests of callers, finishes those
-  // under way and the batch work it holds, leaves the membership, then calls `done` once.
+  // Planned shutdown: the node reports itself not ready, refuses new requests of callers, finishes
+  // the requests in progress and its batch work, leaves the membership, then calls `done` once.
   void begin_drain(std::function<void()> done);
 
-  // Whether callers should be sent here.
+  // Whether load balancers should send callers to this node.
   bool ready() const { return !not_ready_reason(); }
   std::optional<std::string_view> not_ready_reason() const override;
   bool draining() const override { return draining_; }
@@ -75,7 +75,7 @@
   void check_drained();
 
   SharedMachineList machine_list_;
-  NodeDependencies dependencies_;  // with machine_list_ in place of the platform's
+  NodeDependencies dependencies_;  // machine_list_ replaces the platform's list
   Duration drain_poll_interval_;
   AdminAccess admin_access_;
   MembershipImpl membership_;
@@ -91,7 +91,7 @@
   ClaimSweep claim_sweep_;
   NodeApi node_api_;
   HttpRouter paths_;
-  // Requests of every role whose answers have not ended.
+  // Requests to any component whose responses have not finished.
   std::shared_ptr<size_t> open_requests_ = std::make_shared<size_t>(0);
   bool draining_ = false;
   bool batch_drained_ = false;
--- a/src/node/node_api.cc
+++ b/src/node/node_api.cc
@@ -42,8 +42,9 @@
 
 void NodeApi::handle(HttpRequest request, ResponseWriterPtr writer) {
   if (request.method != "GET" && request.method != "HEAD") {
-    writer->respond(error_response(not_run(
-        ErrorKind::kInvalidRequest, request.path + " does not take " + request.method, "use GET")));
+    writer->respond(
+        error_response(not_run(ErrorKind::kInvalidRequest,
+                               request.path + " does not support " + request.method, "use GET")));
   } else if (request.path == "/healthz") {
     writer->respond(health());
   } else if (request.path == "/readyz") {
--- a/src/node/node_api.h
+++ b/src/node/node_api.h
@@ -1,4 +1,4 @@
-// What a node tells about itself: GET /healthz, /readyz, /metrics and /admin/nodes.
+// The status API of a node: GET /healthz, /readyz, /metrics and /admin/nodes.
 #pragma once
 
 #include "src/configuration/configuration.h"
@@ -11,7 +11,7 @@
 class NodeStatus {
  public:
   virtual ~NodeStatus() = default;
-  // @return why callers should not be sent here, or nothing when the node is ready.
+  // @return why callers should not be sent to this node, or nothing when it is ready.
   virtual std::optional<std::string_view> not_ready_reason() const = 0;
   virtual bool draining() const = 0;
   virtual size_t requests_in_progress() const = 0;
--- a/src/node/node_dependencies.h
+++ b/src/node/node_dependencies.h
@@ -1,5 +1,5 @@
-// Everything a node takes from the outside. The daemon gives it libevent-backed implementations,
-// the simulator virtual ones; the node itself is the same code in both.
+// The external dependencies of a node. The daemon injects implementations based on libevent, the
+// simulator virtual ones; the code of the node is the same in both.
 #pragma once
 
 #include "src/core/dispatcher.h"
@@ -25,7 +25,7 @@
   ObjectStore& object_store;
   MachineList& machine_list;
   EngineClient& engine_client;
-  HttpClient& backend_client;  // plain services by pass-through
+  HttpClient& backend_client;  // for plain services, whose requests are passed through
   DatagramTransport& datagrams;
   PeerClient& peer_client;
   PeerServer& peer_server;
@@ -33,14 +33,14 @@
   MetricsRegistry& metrics;
 };
 
-// Who and where this node is; from the settings.
+// Identity and location of this node, from the settings.
 struct NodeIdentity {
   std::string id;
   Address http_address;
   Address peer_address;
   std::string zone;
   std::string region;
-  uint64_t incarnation = 0;  // raised with every start (wall clock in microseconds)
+  uint64_t incarnation = 0;  // increases with every start (wall clock in microseconds)
 };
 
 }  // namespace chalkshed
--- a/src/node/serving_node.cc
+++ b/src/node/serving_node.cc
@@ -73,7 +73,7 @@
       row_server_(
           dependencies.time_source,
           {{tables.configuration_table, &route_table_}, {tables.worker_table, &worker_table_}},
-          {{kStoredJobTable, [this](const StoredRow& row) { take_end(row); }}}),
+          {{kStoredJobTable, [this](const StoredRow& row) { apply_job_end(row); }}}),
       ended_jobs_(dependencies.dispatcher, dependencies.worker_client, dependencies.logger),
       configuration_handover_(dependencies.time_source, dependencies.worker_client,
                               dependencies.logger, tables.configuration_table, route_table_,
@@ -90,17 +90,17 @@
       workers_copy_(
           {dependencies.time_source, dependencies.dispatcher, dependencies.random,
            dependencies.worker_client, dependencies.logger},
-          tables.worker_table, worker_table_, [this] { return workers_source(); },
+          tables.worker_table, worker_table_, [this] { return worker_copy_source(); },
           [this] { return peers_.zone_peers(); }, knobs.workers_copy) {
   job_environment_.view_age = [this] { return job_table_.age(); };
-  workers_.set_on_place_freed([this] { place_soon(); });
+  workers_.set_on_place_freed([this] { schedule_placement(); });
   gateway_.set_on_short_of_places([this](size_t count) { jobs_.preempt_items(count); });
   workers_.set_on_load_changed([this] { peers_.load_changed(); });
   jobs_.set_on_queue_changed([this] { peers_.load_changed(); });
-  jobs_.set_on_ownership_changed([this] { pace_jobs(); });
+  jobs_.set_on_ownership_changed([this] { update_job_pace(); });
   jobs_.set_owner_notice(
       [this](const std::string& owner, const StoredRow& row, const std::function<void()>& done) {
-        tell_owner(owner, row, done);
+        notify_job_owner(owner, row, done);
       });
   peers_.set_job_remainders(
       [this] { return jobs_.queues().remainders(); },
@@ -117,7 +117,7 @@
   route_watch_.set_on_changed([this] {
     quota_exchange_.set_tenants(route_watch_.current()->tenants());
     set_cold_starts();
-    peers_.load_changed();  // peers hear soon that there is a newer configuration
+    peers_.load_changed();  // announces the new configuration version to the peers soon
   });
   peers_.set_on_peers_changed([this](const std::vector<relay_candidate>& peers) {
     quota_exchange_.set_peers(peers);
@@ -137,38 +137,40 @@
   route_table_.set_on_missed(
       [this](StoreVersion version) { configuration_handover_.request(version); });
   worker_table_.set_on_missed([this](StoreVersion version) { worker_handover_.request(version); });
-  // Many nodes that start at the same moment would else not hear each other until their
-  // announcements have been gathered, for a second and a half.
+  // Without this, many nodes that start at the same moment would not accept each other's datagrams
+  // until the watch has collected their announcements, which takes a second and a half.
   peers_.set_on_unknown_session([this] { node_table_.hurry(); });
   quota_exchange_.set_on_unknown_session([this] { node_table_.hurry(); });
-  peers_.set_on_role_changed([this] { pace_watchers(); });
-  // Their long questions may have been lost together with the short ones.
+  peers_.set_on_role_changed([this] { update_watch_paces(); });
+  // The long polls of the other tables may have been lost together with the short ones.
   route_table_.set_on_regained([this] { refresh_watchers(worker_table_); });
   worker_table_.set_on_regained([this] { refresh_watchers(route_table_); });
 }
 
-// One of all nodes tries again what is held, and removes what is not held any more.
+// A single node of the fleet retries quarantined contents and removes the rows of contents that are
+// no longer quarantined.
 void ServingNode::connect_quarantine() {
   const auto is_first = [this](uint64_t digest) { return peers_.rank(digest_text(digest)) == 0; };
   quarantine_.set_tries(is_first);
   quarantine_rows_.set_removes(is_first);
   quarantine_.set_view_age([this] { return worker_table_.age(); });
-  quarantine_.set_turns({[this](uint64_t digest, MonotonicTime not_before) {
-                           return run_turns_.take(digest, not_before);
-                         },
-                         [this](uint64_t digest) { run_turns_.note_running(digest); },
-                         // Requests in progress end with this node, after its turns.
-                         lifetime_.guard([this](uint64_t digest, MonotonicTime not_before) {
-                           run_turns_.note_over(digest, not_before);
-                         })});
-  quarantine_.set_on_permits_changed([this] { place_soon(); });
+  quarantine_.set_turns(
+      {[this](uint64_t digest, MonotonicTime not_before) {
+         return run_turns_.take(digest, not_before);
+       },
+       [this](uint64_t digest) { run_turns_.note_running(digest); },
+       // Guarded: requests in progress are destroyed with this node, after run_turns_.
+       lifetime_.guard([this](uint64_t digest, MonotonicTime not_before) {
+         run_turns_.note_over(digest, not_before);
+       })});
+  quarantine_.set_on_permits_changed([this] { schedule_placement(); });
   run_turns_.set_not_before(
       [this](uint64_t digest) { return quarantine_.evidence().settled_at(digest); });
-  run_turns_.set_on_granted([this] { place_soon(); });
+  run_turns_.set_on_granted([this] { schedule_placement(); });
 }
 
-// PeerExchange reports its peers only after the table of nodes has been listed, so the first report
-// marks that moment.
+// PeerExchange reports its peers only after the node table has been listed, so the first report
+// means that the listing is complete.
 void ServingNode::note_nodes_listed() {
   if (std::exchange(nodes_listed_, true)) {
     return;
@@ -177,7 +179,7 @@
   call_after(dependencies_.dispatcher, left, lifetime_.guard([this] { workers_.nodes_changed(); }));
 }
 
-copy_source ServingNode::workers_source() const {
+copy_source ServingNode::worker_copy_source() const {
   if (!peers_.listed()) {
     return copy_source::kUnknown;
   }
@@ -192,8 +194,8 @@
   workers_.set_cold_starts(services);
 }
 
-void ServingNode::tell_owner(const std::string& owner, const StoredRow& row,
-                             const std::function<void()>& done) {
+void ServingNode::notify_job_owner(const std::string& owner, const StoredRow& row,
+                                   const std::function<void()>& done) {
   const std::optional<Address> address = peers_.address_of(owner);
   if (!address) {
     done();
@@ -202,44 +204,46 @@
   ended_jobs_.deliver(*address, row, [done](bool /*confirmed*/) { done(); });
 }
 
-// What a peer says is taken only where it ends a job of this very session.
-void ServingNode::take_end(const StoredRow& row) {
+// A row from a peer is applied only if it ends a job that this node owns in its current session.
+void ServingNode::apply_job_end(const StoredRow& row) {
   if (jobs_.is_end_of_own_job(row)) {
     job_table_.learn(row);
   }
 }
 
-void ServingNode::pace_watchers() {
+void ServingNode::update_watch_paces() {
   const WatchKnobs& watch = knobs_.watch;
   const bool member = peers_.is_relay_member();
   WatchPace configuration = member ? watch.member_configuration : watch.configuration;
   if (knobs_.longest_unconfirmed) {
-    // A lost question and its repetition fit into the time for which keys hold unconfirmed.
+    // A lost poll and its retry have to fit into the time for which unconfirmed keys are accepted.
     configuration.longest_wait =
         std::min(configuration.longest_wait, *knobs_.longest_unconfirmed / 2);
   }
   route_table_.set_pace(configuration);
-  // A member that has just started hears a relay soon. If all nodes start, so do the workers: each
-  // of their rows went from the store to each node, 3 GB for 1,000 nodes before 10,000 workers.
+  // A member that has just started will receive a relay's digest soon. If all nodes start together,
+  // the workers do as well, and each of their rows was sent from the store to each node: 3 GB for
+  // 1,000 nodes and 10,000 workers.
   const bool starts =
-      member && dependencies_.time_source.monotonic_now() - started_ < watch.told_workers.gather;
-  worker_table_.set_pace(peers_.hears_informed_relay() || starts ? watch.told_workers
+      member && dependencies_.time_source.monotonic_now() - started_ < watch.relayed_workers.gather;
+  worker_table_.set_pace(peers_.hears_informed_relay() || starts ? watch.relayed_workers
                          : member                                ? watch.member_workers
                                                                  : watch.workers);
   node_table_.set_pace(peers_.relayed() ? watch.member_jobs : watch.jobs);
-  pace_jobs();
+  update_job_pace();
   peers_.set_store_wait(configuration.longest_wait - watch.configuration.longest_wait);
 }
 
-void ServingNode::pace_jobs() {
+void ServingNode::update_job_pace() {
   const WatchKnobs& watch = knobs_.watch;
   WatchPace pace = peers_.relayed() ? watch.member_jobs : watch.jobs;
   if (jobs_.owns_open_jobs()) {
-    // A view is as old as its question: at most a pause and two questions that were held, together
-    // nine tenths of the age at which an owner starts nothing; the rest is for the answer to come.
-    const Duration part = knobs_.jobs.longest_view_age * 3 / 10;
-    pace.longest_wait = std::min(pace.longest_wait, part);
-    pace.gather = std::min(pace.gather, part);
+    // A view is as old as the poll that returned it: at most one pause and two long polls, together
+    // nine tenths of the age beyond which an owner starts no items. The last tenth is left for the
+    // response to arrive.
+    const Duration max_step = knobs_.jobs.longest_view_age * 3 / 10;
+    pace.longest_wait = std::min(pace.longest_wait, max_step);
+    pace.gather = std::min(pace.gather, max_step);
   }
   job_table_.set_pace(pace);
 }
@@ -251,7 +255,7 @@
   quarantine_table_.refresh();
 }
 
-// The requests that end now free their places; nobody is left to take them.
+// Requests that end during destruction free their slots, and nothing may be placed into them.
 ServingNode::~ServingNode() {
   workers_.set_on_place_freed(nullptr);
   workers_.set_on_load_changed(nullptr);
@@ -259,8 +263,8 @@
 
 void ServingNode::start() {
   started_ = dependencies_.time_source.monotonic_now();
-  call_after(dependencies_.dispatcher, knobs_.watch.told_workers.gather,
-             lifetime_.guard([this] { pace_watchers(); }));
+  call_after(dependencies_.dispatcher, knobs_.watch.relayed_workers.gather,
+             lifetime_.guard([this] { update_watch_paces(); }));
   route_table_.start();
   workers_copy_.start();
   job_table_.start();
@@ -270,14 +274,14 @@
   jobs_.start();
 }
 
-// Places are freed in the midst of other work; what waits for them is looked at afterwards, online
-// requests first.
-void ServingNode::place_soon() {
-  if (std::exchange(placing_soon_, true)) {
+// Slots are freed in the middle of other work, so waiting requests are placed in a later turn of
+// the event loop: online requests first, then job items.
+void ServingNode::schedule_placement() {
+  if (std::exchange(placement_scheduled_, true)) {
     return;
   }
   dependencies_.dispatcher.post(lifetime_.guard([this] {
-    placing_soon_ = false;
+    placement_scheduled_ = false;
     gateway_.place_waiting();
     jobs_.start_items();
   }));
@@ -311,17 +315,18 @@
 
 std::optional<Error> ServingNode::refuse(const std::string& request_id) const {
   constexpr Duration kUntilConfigured = std::chrono::milliseconds(200);
-  constexpr Duration kElsewhere = std::chrono::milliseconds(10);
+  constexpr Duration kUntilRerouted = std::chrono::milliseconds(10);
   const bool unconfigured = !route_watch_.current();
   const Duration draining =
       draining_ ? dependencies_.time_source.monotonic_now() - drain_began_ : Duration(0);
   if (!unconfigured && draining < knobs_.least_drain) {
     return std::nullopt;
   }
-  Error error = not_run(ErrorKind::kUnavailable,
-                        unconfigured ? "this node knows no configuration yet" : "this node stops",
-                        "send it again, or to another node");
-  error.retry_after = unconfigured ? kUntilConfigured : kElsewhere;
+  Error error =
+      not_run(ErrorKind::kUnavailable,
+              unconfigured ? "this node has no configuration yet" : "this node is shutting down",
+              "retry, or send the request to another node");
+  error.retry_after = unconfigured ? kUntilConfigured : kUntilRerouted;
   dependencies_.logger.write(LogLevel::kInfo, "request_refused",
                              {{"request", request_id},
                               {"reason", error.message},
@@ -329,7 +334,8 @@
   return error;
 }
 
-// An answer of the store about anything else says nothing of the keys.
+// Only responses about the configuration table count: a response of the store about any other table
+// does not confirm the keys.
 bool ServingNode::keys_unconfirmed() const {
   const Duration unconfirmed =
       dependencies_.time_source.monotonic_now() - route_table_.last_heard();
@@ -341,8 +347,9 @@
                                                 std::string_view authorization) const {
   const bool keyed = table.tenants().enabled() && (route == nullptr || !route->open);
   if (keyed && keys_unconfirmed()) {
-    return tl::unexpected(reject(
-        request_id, not_run(ErrorKind::kUnauthenticated, "no key can be confirmed", "none")));
+    return tl::unexpected(
+        reject(request_id, not_run(ErrorKind::kUnauthenticated,
+                                   "API keys cannot be confirmed at the moment", "none")));
   }
   Expected<caller_identity> caller = identify_caller(table, route, authorization);
   if (!caller) {
@@ -353,7 +360,7 @@
 
 Error ServingNode::reject_unknown_route(const std::string& request_id,
                                         const std::string& target) const {
-  return reject(request_id, not_run(ErrorKind::kNotFound, "no route leads to " + target,
+  return reject(request_id, not_run(ErrorKind::kNotFound, "no route matches " + target,
                                     "check the host and the path"));
 }
 
@@ -365,7 +372,7 @@
                     error.message +
                         " in the configuration of this node, "
                         "which may be outdated",
-                    "send it again, or to another node");
+                    "retry, or send the request to another node");
     error.retry_after = kUntilCurrent;
   }
   dependencies_.logger.write(LogLevel::kInfo, "request_rejected",
@@ -391,8 +398,8 @@
     std::exchange(on_drained_, nullptr)();
     return;
   }
-  constexpr Duration kLookAgain = std::chrono::milliseconds(50);
-  call_after(dependencies_.dispatcher, kLookAgain, lifetime_.guard([this] { check_drained(); }));
+  constexpr Duration kPollInterval = std::chrono::milliseconds(50);
+  call_after(dependencies_.dispatcher, kPollInterval, lifetime_.guard([this] { check_drained(); }));
 }
 
 }  // namespace chalkshed
--- a/src/node/serving_node.h
+++ b/src/node/serving_node.h
@@ -1,5 +1,5 @@
-// A node that serves opaque requests and jobs: routes, workers, gateway and jobs wired together
-// over a watched store. Free of sockets and of any wire format; both are given to it.
+// A node that serves opaque requests and jobs: routes, workers, gateway and jobs, wired together
+// over a watched store. It is independent of sockets and wire formats; both are injected.
 #pragma once
 
 #include <functional>
@@ -26,12 +26,12 @@
 
 namespace chalkshed {
 
-// Where the store holds what operators and workers write, and how it is read.
+// The store tables that operators and workers write, and the decoders of their rows.
 struct WatchedTables {
   std::string configuration_table;
   std::string configuration_key;
   RouteWatch::Decode decode_routes;
-  evacuation_rows evacuations;  // in the table of the configuration
+  evacuation_rows evacuations;  // in the configuration table
   std::string worker_table;
   WorkerWatch::Decode decode_worker;
 };
@@ -51,28 +51,28 @@
   MetricsRegistry& metrics;
 };
 
-// How the store's tables are followed. What a node costs the store should not grow with the number
-// of nodes: where they are many, jobs change all the time, and each change goes to every node.
+// How the store's tables are watched. The load of one node on the store should not grow with the
+// number of nodes: in a large fleet jobs change constantly, and each change is sent to every node.
 struct WatchKnobs {
-  // The configuration is also how a node notices that it has lost the store: its question is never
-  // held for longer than this.
+  // The configuration watch is also how a node detects that it has lost the store: its long poll is
+  // never held for longer than this.
   WatchPace configuration{.longest_wait = std::chrono::milliseconds(1500)};
   WatchPace workers{.longest_wait = std::chrono::milliseconds(1500)};
-  // Jobs and nodes change more often, and may be known a little later.
+  // Jobs and nodes change more often, and their changes may arrive a little later.
   WatchPace jobs{.longest_wait = std::chrono::seconds(5), .gather = std::chrono::milliseconds(150)};
-  // Contents that are held change seldom, and peers tell of them at once.
+  // Quarantined contents change rarely, and peers announce them at once.
   WatchPace quarantine{.longest_wait = std::chrono::seconds(30)};
-  // While this node is one of many that learn from a relay what has changed: a lost question does
-  // not go unnoticed for longer. A job that was ended must start nothing after three seconds.
+  // While this node is one of many that learn of changes from a relay: bounds the time for which a
+  // lost poll goes unnoticed. A job that was ended must start no items after three seconds.
   WatchPace member_configuration{.longest_wait = std::chrono::seconds(3)};
-  // Some worker's row changes every second. A worker that leaves may get new work for two seconds.
+  // Some worker's row changes every second. A leaving worker may get new work for two seconds.
   WatchPace member_workers{.longest_wait = std::chrono::seconds(10),
                            .gather = std::chrono::seconds(1)};
-  // While a relay tells of changes. Without it, or once it has lost the store, the pace above holds
-  // again within two seconds.
-  WatchPace told_workers{.longest_wait = std::chrono::seconds(10),
-                         .gather = std::chrono::seconds(5),
-                         .from_peers = true};
+  // While a relay announces changes. Without a relay, or once the relay has lost the store, the
+  // pace above applies again within two seconds.
+  WatchPace relayed_workers{.longest_wait = std::chrono::seconds(10),
+                            .gather = std::chrono::seconds(5),
+                            .from_peers = true};
   WatchPace member_jobs{.longest_wait = std::chrono::seconds(10),
                         .gather = std::chrono::milliseconds(1500)};
 };
@@ -87,12 +87,12 @@
   run_turns_knobs turns;
   quota_exchange_knobs quotas;
   first_copy_knobs workers_copy;
-  // A node that the store has not answered for so long takes no keys, because one of them may have
-  // been taken away; nothing: it goes on by what it knows.
+  // A node that has had no configuration response from the store for this long rejects all keys,
+  // because one of them may have been revoked. Unset: it keeps using the keys it knows.
   std::optional<Duration> longest_unconfirmed;
-  // A planned stop serves on for this long, until callers are sent elsewhere.
+  // A planned shutdown keeps serving for this long, until callers are sent elsewhere.
   Duration least_drain = std::chrono::milliseconds(2600);
-  // It ends after this long whatever still runs: the process is killed soon after.
+  // It ends after this long even if work is still running: the process is killed soon after.
   Duration longest_drain = std::chrono::milliseconds(7500);
 };
 
@@ -106,24 +106,24 @@
   ServingNode& operator=(const ServingNode&) = delete;
 
   void start();
-  // @return why callers should not be sent here, or null.
+  // @return why callers should not be sent to this node, or null.
   const char* not_ready_reason() const;
-  // Planned stop: not ready any more, but serves on while callers still come; finishes what runs,
-  // hands the jobs over, then calls `done` once.
+  // Planned shutdown: the node reports itself not ready but keeps serving while callers still come,
+  // finishes running work, hands its jobs over, then calls `done` once.
   void begin_drain(std::function<void()> done);
 
-  // @return why a new request cannot be taken now, with when to come back: no configuration is
-  // known yet, or the planned stop has come so far that callers are sent elsewhere. Logged with its
-  // id.
+  // @return the error for a new request that cannot be accepted now, with the delay before a retry:
+  // no configuration is known yet, or the planned shutdown has lasted for `min_drain_time`. The
+  // refusal is logged with the request's id.
   std::optional<Error> refuse(const std::string& request_id) const;
 
   // @param route null for calls about jobs.
-  // @return who sends the request. Errors: kUnauthenticated; kUnavailable while this node may lack
-  // the configuration that names the key. Logged without the key.
+  // @return the identity of the caller. Errors: kUnauthenticated; kUnavailable while this node may
+  // lack the configuration that contains the key. A rejection is logged without the key.
   Expected<caller_identity> identify(const RouteTable& table, const Route* route,
                                      const std::string& request_id,
                                      std::string_view authorization) const;
-  // @return the error for a request that no known route leads to, in the same way.
+  // @return the error for a request that matches no known route; logged like identify()'s.
   Error reject_unknown_route(const std::string& request_id, const std::string& target) const;
 
   const RouteTablePtr& routes() const { return route_watch_.current(); }
@@ -131,48 +131,48 @@
   JobService& jobs() { return jobs_; }
   WorkerSet& workers() { return workers_; }
   const request_quarantine& quarantine() const { return quarantine_; }
-  // Answers questions of other nodes; callers must not reach it.
+  // Serves requests of other nodes; must not be reachable for callers.
   HttpHandler& peer_handler() { return row_server_; }
-  // Answers operators; callers must not reach it.
+  // Serves requests of operators; must not be reachable for callers.
   HttpHandler& operator_handler() { return quarantine_api_; }
   SessionView& peers() { return peers_; }
-  // Whether other nodes relay what this one knows of loads and workers.
+  // Whether this node learns of loads and workers from relays instead of from all its peers.
   bool is_relay_member() const { return peers_.is_relay_member(); }
 
  private:
-  void place_soon();
-  // Whether keys may have been taken away that this node still knows, for longer than is allowed.
+  void schedule_placement();
+  // Whether the known keys have been unconfirmed, and so possibly revoked, for longer than allowed.
   bool keys_unconfirmed() const;
-  // The configuration names neither the key nor the route. That is final only if no newer one can
-  // be in force.
+  // Rejects a request whose key or route is not in the known configuration. The error is permanent
+  // only if no newer configuration can be in force.
   Error reject(const std::string& request_id, Error error) const;
-  // The store answers again: repeats the questions whose answers may have been lost meanwhile.
+  // The store responds again: repeats the polls whose responses may have been lost in between.
   void refresh_watchers(TableWatcher& other);
-  void pace_watchers();
-  void pace_jobs();
-  // A peer brings the row of a job that it has ended.
-  void take_end(const StoredRow& row);
-  // Brings the row of an ended job to the node that owns it.
-  void tell_owner(const std::string& owner, const StoredRow& row,
-                  const std::function<void()>& done);
+  void update_watch_paces();
+  void update_job_pace();
+  // Handles the row of a job that a peer has ended.
+  void apply_job_end(const StoredRow& row);
+  // Sends the row of an ended job to the node that owns the job.
+  void notify_job_owner(const std::string& owner, const StoredRow& row,
+                        const std::function<void()>& done);
   void check_drained();
   void connect_quarantine();
-  copy_source workers_source() const;
+  copy_source worker_copy_source() const;
   void note_nodes_listed();
-  // The configuration says what cold workers bear.
+  // Applies the limits on cold workers from the configuration.
   void set_cold_starts();
 
   ServingNodeDependencies dependencies_;
   ServingNodeKnobs knobs_;
   StoreClock clock_;
-  ObservedStore watched_store_;  // for watchers: an old answer is better than none
-  ObservedStore fresh_store_;    // for answers to callers
+  ObservedStore watched_store_;  // for watchers: a stale response is better than none
+  ObservedStore fresh_store_;    // for responses to callers
   WorkerSet workers_;
   request_quarantine quarantine_;
   ServingEnvironment serving_;
   RouteWatch route_watch_;
   evacuated_zones evacuated_zones_;
-  observer_list operator_rows_;  // of the configuration's table
+  observer_list operator_rows_;  // observers of the configuration table
   WorkerWatch worker_watch_;
   ServingGateway gateway_;
   ServiceDraw batch_draw_;
@@ -197,10 +197,10 @@
   first_copy workers_copy_;
   MonotonicTime started_{};
   bool nodes_listed_ = false;
-  bool placing_soon_ = false;
+  bool placement_scheduled_ = false;
   bool draining_ = false;
   bool jobs_drained_ = false;
-  bool withdrawn_ = false;  // peers need not wait for this node any more
+  bool withdrawn_ = false;  // peers no longer need to wait for this node
   MonotonicTime drain_began_{};
   std::function<void()> on_drained_;
   Lifetime lifetime_;
--- a/tests/node/key_age_test.cc
+++ b/tests/node/key_age_test.cc
@@ -1,5 +1,5 @@
-// A key is refused within its bound although the node cannot learn that it was taken away; the
-// sign for that is that the store answers anything at all.
+// A revoked key has to be refused within `max_unconfirmed_time` even if the node cannot learn of
+// the revocation. Guards against counting any response of the store as a confirmation of the keys.
 #include <gtest/gtest.h>
 
 #include "tests/serving/partly_deaf_node.h"
@@ -7,9 +7,9 @@
 namespace chalkshed {
 namespace {
 
-// The store's feed is down for the node (the store may be down in part), its transactions are
-// answered: each answer counts as a confirmation of a configuration that no answer tells of.
-TEST(KeyAgeTest, AnAnswerAboutSomethingElseConfirmsNoKey) {
+// The store fails in part: the node's watch gets no responses, but its transactions do. Each such
+// response used to count as a confirmation of a configuration that it says nothing about.
+TEST(KeyAgeTest, ResponseAboutAnotherTableConfirmsNoKey) {
   ServingCluster cluster(0);
   const auto with_keys = [&](uint64_t version, const std::vector<std::string>& keys) {
     cluster.write_configuration(version, [&](nlohmann::json& configuration) {
@@ -33,7 +33,7 @@
     cluster.clock.run_for(seconds(1));
     node.node.jobs().end("no-" + std::to_string(second), [](const Expected<std::monostate>&) {});
   }
-  EXPECT_FALSE(allowed("k1")) << "taken away 20 s ago";
+  EXPECT_FALSE(allowed("k1")) << "revoked 20 s ago";
 }
 
 }  // namespace
--- a/tests/node/key_revocation_test.cc
+++ b/tests/node/key_revocation_test.cc
@@ -1,4 +1,4 @@
-// What a node says of a key that its configuration does not name, or that it cannot confirm.
+// How a node responds to a key that is not in its configuration, or that it cannot confirm.
 #include <gtest/gtest.h>
 
 #include "tests/serving/serving_cluster.h"
@@ -14,7 +14,7 @@
     });
     cluster.clock.run_for(milliseconds(50));
   }
-  // @return what n0 says of the key: a tenant, or the kind of the error.
+  // @return the tenant that n0 finds for the key, or the kind of its error.
   std::string tenant_of(const std::string& key) {
     ServingNode& node = cluster.node("n0");
     const RouteTablePtr table = node.routes();
@@ -22,7 +22,7 @@
         node.identify(*table, table->find("a.example", "/plain/x"), "r1", "Bearer " + key);
     return caller ? caller->tenant : std::string(error_kind_name(caller.error().kind));
   }
-  void cut_off_everybody() {
+  void disconnect_all_nodes_from_store() {
     for (auto& [name, node] : cluster.nodes) {
       node->store.set_cut(true);
     }
@@ -31,11 +31,11 @@
   ServingCluster cluster{3};
 };
 
-TEST_F(KeyRevocationTest, AnUnknownKeyIsRejectedForGoodOnlyByANodeThatIsCurrent) {
+TEST_F(KeyRevocationTest, UnknownKeyIsRejectedPermanentlyOnlyByAnUpToDateNode) {
   configure(2, {"k1"});
   EXPECT_EQ(tenant_of("k1"), "ann");
   EXPECT_EQ(tenant_of("k2"), "unauthenticated");
-  cut_off_everybody();
+  disconnect_all_nodes_from_store();
   cluster.clock.run_for(seconds(8));
   EXPECT_EQ(tenant_of("k1"), "ann");
   EXPECT_EQ(tenant_of("k2"), "unavailable");
@@ -43,7 +43,7 @@
             ErrorKind::kUnavailable);
 }
 
-TEST_F(KeyRevocationTest, AKeyThatIsTakenAwayStopsEvenAtANodeThatTheStoreRefuses) {
+TEST_F(KeyRevocationTest, RevokedKeyIsRejectedEvenByANodeWithoutTheStore) {
   configure(2, {"k1", "k2"});
   cluster.clock.run_for(seconds(3));
   cluster.nodes.at("n0")->store.set_cut(true);
--- a/tests/node/node_test.cc
+++ b/tests/node/node_test.cc
@@ -1,4 +1,4 @@
-// One node over virtual time: what it tells about itself, and its planned stop.
+// One node in virtual time: its status API, operator access and planned shutdown.
 #include "src/node/node.h"
 
 #include <gmock/gmock.h>
@@ -12,8 +12,8 @@
 
 using testing::HasSubstr;
 
-// Keeps what a handler answers.
-struct Answer {
+// Records the response of a handler.
+struct RecordedResponse {
   int status = 0;
   HttpHeaders headers;
   std::string body;
@@ -21,30 +21,31 @@
   bool aborted = false;
 };
 
-class AnswerWriter : public ResponseWriter {
+class RecordingWriter : public ResponseWriter {
  public:
-  explicit AnswerWriter(std::shared_ptr<Answer> answer) : answer_(std::move(answer)) {}
+  explicit RecordingWriter(std::shared_ptr<RecordedResponse> response)
+      : response_(std::move(response)) {}
   void start(int status, const HttpHeaders& headers) override {
-    answer_->status = status;
-    answer_->headers = headers;
+    response_->status = status;
+    response_->headers = headers;
   }
-  void write(std::string_view chunk) override { answer_->body.append(chunk); }
-  void finish() override { answer_->ended = true; }
+  void write(std::string_view chunk) override { response_->body.append(chunk); }
+  void finish() override { response_->ended = true; }
   void respond(const HttpResponse& response) override {
     start(response.status, response.headers);
     write(response.body);
     finish();
   }
-  void abort() override { answer_->aborted = true; }
+  void abort() override { response_->aborted = true; }
   size_t buffered_bytes() const override { return 0; }
   void set_on_closed(std::function<void()> /*callback*/) override {}
 
  private:
-  std::shared_ptr<Answer> answer_;
+  std::shared_ptr<RecordedResponse> response_;
 };
 
-// Holds streams open until the test ends them.
-class HeldEngines : public EngineClient {
+// Keeps streams open until the test completes them.
+class OpenStreamEngineClient : public EngineClient {
  public:
   GenerateStreamPtr generate(const Address& /*worker*/, GenerateRequest /*request*/,
                              GenerateCallbacks& callbacks) override {
@@ -56,7 +57,7 @@
   GenerateCallbacks* stream = nullptr;
 };
 
-class SilentHttpClient : public HttpClient {
+class UnresponsiveHttpClient : public HttpClient {
  public:
   HttpCallPtr send(const Address& /*server*/, const HttpRequest& /*request*/,
                    const HttpCallOptions& /*options*/, HttpCallCallbacks& /*callbacks*/) override {
@@ -66,7 +67,7 @@
              const HttpCallOptions& /*options*/, Callback<HttpResponse> /*callback*/) override {}
 };
 
-class SilentNetwork : public DatagramTransport, public PeerClient, public PeerServer {
+class UnresponsiveNetwork : public DatagramTransport, public PeerClient, public PeerServer {
  public:
   void send(const Address& /*to*/, std::string_view /*datagram*/) override {}
   void set_receiver(Receiver /*receiver*/) override {}
@@ -88,17 +89,17 @@
     platform_.forget_machine_history();
   }
 
-  std::shared_ptr<Answer> send(const std::string& method, const std::string& path,
-                               const std::string& body = {}) {
+  std::shared_ptr<RecordedResponse> send(const std::string& method, const std::string& path,
+                                         const std::string& body = {}) {
     HttpRequest request;
     request.method = method;
     request.path = path.substr(0, path.find('?'));
     request.query = path.find('?') == std::string::npos ? "" : path.substr(path.find('?') + 1);
     request.body = body;
     request.peer = peer_;
-    auto answer = std::make_shared<Answer>();
-    node_.handle(std::move(request), std::make_unique<AnswerWriter>(answer));
-    return answer;
+    auto response = std::make_shared<RecordedResponse>();
+    node_.handle(std::move(request), std::make_unique<RecordingWriter>(response));
+    return response;
   }
 
   void run(Duration duration = std::chrono::seconds(5)) { clock_.run_for(duration); }
@@ -120,9 +121,9 @@
   EmulatedTableStore table_{platform_, dispatcher_};
   EmulatedObjectStore objects_{platform_, dispatcher_};
   EmulatedMachineList machines_{platform_, dispatcher_};
-  HeldEngines engines_;
-  SilentHttpClient backends_;
-  SilentNetwork network_;
+  OpenStreamEngineClient engines_;
+  UnresponsiveHttpClient backends_;
+  UnresponsiveNetwork network_;
   NullLogger logger_;
   NullMetricsRegistry metrics_;
   NodeDependencies dependencies_{clock_,    dispatcher_, random_,   table_,   objects_,
@@ -132,7 +133,7 @@
              dependencies_};
 };
 
-TEST_F(NodeTest, IsReadyOnlyOnceAConfigurationIsLearned) {
+TEST_F(NodeTest, IsReadyOnlyOnceAConfigurationIsKnown) {
   platform_.table_service().faults.outage = true;
   node_.start();
   run();
@@ -148,7 +149,7 @@
   EXPECT_EQ(send("GET", "/readyz")->status, 200);
 }
 
-TEST_F(NodeTest, TellsItsNodesAndRefusesUnknownPaths) {
+TEST_F(NodeTest, ListsNodesAndRejectsUnknownPaths) {
   start_and_configure();
   const auto nodes = send("GET", "/admin/nodes");
   EXPECT_THAT(nodes->body, HasSubstr("\"id\":\"node-1\""));
@@ -157,7 +158,7 @@
   EXPECT_EQ(send("POST", "/healthz")->status, 400);
 }
 
-TEST_F(NodeTest, AnswersOperatorsOnlyOnItsOwnMachineUnlessItHasAKey) {
+TEST_F(NodeTest, ServesOperatorsFromLoopbackOnlyWithoutAKey) {
   start_and_configure();
   peer_.ip = "10.0.0.7";
   const auto refused = send("GET", "/admin/nodes");
@@ -168,7 +169,7 @@
   EXPECT_NE(send("GET", "/v1/models")->status, 401);
 }
 
-TEST(AdminAccessTest, KeyIsAskedOfEveryone) {
+TEST(AdminAccessTest, KeyIsRequiredFromEveryPeer) {
   const AdminAccess access("0123456789abcdef");
   HttpRequest request;
   request.path = "/admin/configuration";
@@ -187,7 +188,7 @@
   EXPECT_FALSE(access.refusal(request));
 }
 
-TEST(AdminAccessTest, KnowsLoopback) {
+TEST(AdminAccessTest, RecognizesLoopbackAddresses) {
   for (const char* ip : {"127.0.0.1", "127.9.8.7", "::1", "::ffff:127.0.0.1"}) {
     EXPECT_TRUE(is_loopback(ip)) << ip;
   }
@@ -196,7 +197,7 @@
   }
 }
 
-TEST_F(NodeTest, PlannedStopFinishesWhatRunsAndRefusesTheRest) {
+TEST_F(NodeTest, DrainFinishesOpenRequestsAndRefusesNewOnes) {
   start_and_configure();
   const auto running = send("POST", "/v1/completions", R"({"model":"m","prompt":"p"})");
   run(std::chrono::milliseconds(100));
@@ -229,7 +230,7 @@
   EXPECT_TRUE(drained);
 }
 
-TEST_F(NodeTest, IdleNodeStopsAndReportsOnce) {
+TEST_F(NodeTest, IdleNodeDrainsAndReportsOnce) {
   start_and_configure();
   int reports = 0;
   node_.begin_drain([&] { ++reports; });
