--- a/src/node/serving_node.cc
+++ b/src/node/serving_node.cc
@@ -215,10 +215,10 @@
   const WatchKnobs& watch = knobs_.watch;
   const bool member = peers_.is_relay_member();
   WatchPace configuration = member ? watch.member_configuration : watch.configuration;
-  if (knobs_.longest_unconfirmed) {
+  if (knobs_.max_unconfirmed_time) {
     // A lost poll and its retry have to fit into the time for which unconfirmed keys are accepted.
     configuration.longest_wait =
-        std::min(configuration.longest_wait, *knobs_.longest_unconfirmed / 2);
+        std::min(configuration.longest_wait, *knobs_.max_unconfirmed_time / 2);
   }
   route_table_.set_pace(configuration);
   // A member that has just started will receive a relay's digest soon. If all nodes start together,
@@ -319,7 +319,7 @@
   const bool unconfigured = !route_watch_.current();
   const Duration draining =
       draining_ ? dependencies_.time_source.monotonic_now() - drain_began_ : Duration(0);
-  if (!unconfigured && draining < knobs_.least_drain) {
+  if (!unconfigured && draining < knobs_.min_drain_time) {
     return std::nullopt;
   }
   Error error =
@@ -339,7 +339,7 @@
 bool ServingNode::keys_unconfirmed() const {
   const Duration unconfirmed =
       dependencies_.time_source.monotonic_now() - route_table_.last_heard();
-  return knobs_.longest_unconfirmed && unconfirmed > *knobs_.longest_unconfirmed;
+  return knobs_.max_unconfirmed_time && unconfirmed > *knobs_.max_unconfirmed_time;
 }
 
 Expected<caller_identity> ServingNode::identify(const RouteTable& table, const Route* route,
@@ -388,10 +388,10 @@
 void ServingNode::check_drained() {
   const Duration elapsed = dependencies_.time_source.monotonic_now() - drain_began_;
   const bool idle = jobs_drained_ && gateway_.requests_in_progress() == 0;
-  if (elapsed >= knobs_.least_drain && jobs_drained_ && !std::exchange(withdrawn_, true)) {
+  if (elapsed >= knobs_.min_drain_time && jobs_drained_ && !std::exchange(withdrawn_, true)) {
     peers_.withdraw();
   }
-  if ((elapsed >= knobs_.least_drain && idle) || elapsed >= knobs_.longest_drain) {
+  if ((elapsed >= knobs_.min_drain_time && idle) || elapsed >= knobs_.max_drain_time) {
     dependencies_.logger.write(LogLevel::kInfo, "drain_ended",
                                {{"requests", std::to_string(gateway_.requests_in_progress())},
                                 {"jobs", std::to_string(jobs_.owned_jobs())}});
--- a/src/node/serving_node.h
+++ b/src/node/serving_node.h
@@ -89,11 +89,11 @@
   first_copy_knobs workers_copy;
   // A node that has had no configuration response from the store for this long rejects all keys,
   // because one of them may have been revoked. Unset: it keeps using the keys it knows.
-  std::optional<Duration> longest_unconfirmed;
+  std::optional<Duration> max_unconfirmed_time;
   // A planned shutdown keeps serving for this long, until callers are sent elsewhere.
-  Duration least_drain = std::chrono::milliseconds(2600);
+  Duration min_drain_time = std::chrono::milliseconds(2600);
   // It ends after this long even if work is still running: the process is killed soon after.
-  Duration longest_drain = std::chrono::milliseconds(7500);
+  Duration max_drain_time = std::chrono::milliseconds(7500);
 };
 
 class ServingNode {
