--- a/src/membership/catch_up.cc
+++ b/src/membership/catch_up.cc
@@ -5,7 +5,7 @@
 namespace chalkshed {
 namespace {
 
-// Bounds what a damaged response can make the node hold.
+// Bounds the memory that a corrupt response can make the node allocate.
 constexpr uint32_t kMaxPages = 4096;
 
 }  // namespace
@@ -15,7 +15,7 @@
     done_ = true;
   }
   if (!give_up_at_) {
-    give_up_at_ = now + patience_;
+    give_up_at_ = now + timeout_;
   }
 }
 
@@ -25,7 +25,7 @@
     return;
   }
   transfer_ = Transfer{from, {}};
-  give_up_at_ = now + patience_;
+  give_up_at_ = now + timeout_;
   const uint32_t pages = std::min(response.pages, kMaxPages);
   for (uint32_t page = 0; page < pages; ++page) {
     transfer_->missing_pages.insert(page);
--- a/src/membership/catch_up.h
+++ b/src/membership/catch_up.h
@@ -1,4 +1,4 @@
-// Whether a node that just started has learned what the others know.
+// Tracks whether a newly started node has received the state that the other nodes have.
 #pragma once
 
 #include <cstdint>
@@ -11,11 +11,11 @@
 
 namespace chalkshed {
 
-// A node that just started may lack drain marks and must not act as if there were none. It has
-// caught up once all pages of one sync have arrived, or when nobody answers for a while.
+// A newly started node may lack drain marks and must not act as if there were none. It has caught
+// up once all pages of one sync have arrived, or when no node has responded before the timeout.
 class CatchUp {
  public:
-  explicit CatchUp(Duration patience) : patience_(patience) {}
+  explicit CatchUp(Duration timeout) : timeout_(timeout) {}
 
   bool done() const { return done_; }
   // The machine list has arrived.
@@ -31,7 +31,7 @@
     std::set<uint32_t> missing_pages;  // datagrams may be duplicated, so pages are numbered
   };
 
-  Duration patience_;
+  Duration timeout_;
   bool done_ = false;
   std::optional<MonotonicTime> give_up_at_;
   std::optional<Transfer> transfer_;
--- a/src/membership/datagram.cc
+++ b/src/membership/datagram.cc
@@ -10,7 +10,7 @@
 
 using Checksum = uint32_t;
 
-// Parts of a FlatBuffers table that do not depend on its content, with padding.
+// Sizes of the FlatBuffers tables without variable-length content, padding included.
 constexpr size_t kUpdateTableBytes = 72;
 constexpr size_t kEntryTableBytes = 48;
 constexpr size_t kHeaderTableBytes = 112;
@@ -26,7 +26,7 @@
 
 using StringOffset = flatbuffers::Offset<flatbuffers::String>;
 
-// Empty strings are left out. Addresses and zones of a datagram repeat, so they are shared.
+// Omits empty strings. Addresses and zones repeat within a datagram, so they are stored once.
 StringOffset shared_string(flatbuffers::FlatBufferBuilder& builder, const std::string& text) {
   return text.empty() ? StringOffset() : builder.CreateSharedString(text);
 }
--- a/src/membership/datagram_sender.cc
+++ b/src/membership/datagram_sender.cc
@@ -8,22 +8,20 @@
 namespace chalkshed {
 namespace {
 
-// Kinds with a bound on how long they may take to reach every node. They go out first.
+// Kinds that have to reach every node within a time limit. They are sent first.
 constexpr std::array<std::string_view, 2> kUrgentKinds{"configuration_head", "drain_mark"};
-// The node that suspects tells the suspect itself, so that others need not all hear of it: a
-// suspicion is sent this many times less often than other news.
+// The suspecting node notifies the suspect directly, so a suspicion need not reach every member: it
+// is sent this many times less often than other updates.
 constexpr uint32_t kSuspicionShare = 3;
-// Separates kind and key in the name under which an entry is queued.
+// Separates kind and key in the queue name of an entry.
 constexpr char kSeparator = '\0';
 
 std::string queue_name(const GossipKey& key) { return key.kind + kSeparator + key.key; }
 
-// With less room than this hardly any rumour fits.
-constexpr size_t kSmallestRumourBytes = 160;
+// Hardly any rumour fits into less space than this.
+constexpr size_t kMinRumourBytes = 160;
 
-Offer does_not_fit(size_t room) {
-  return room < kSmallestRumourBytes ? Offer::kStop : Offer::kSkipped;
-}
+Offer does_not_fit(size_t room) { return room < kMinRumourBytes ? Offer::kStop : Offer::kSkipped; }
 
 GossipKey key_of(const std::string& name) {
   const size_t separator = name.find(kSeparator);
@@ -84,7 +82,7 @@
 void DatagramSender::send_plain(const Address& to, Datagram datagram) {
   datagram.sender = table_.self().id;
   const std::string bytes = encode_datagram(datagram);
-  // The size bounds are conservative; a datagram beyond the limit would be a defect there.
+  // The size bounds are conservative; a larger datagram would mean a bug in them.
   if (bytes.size() > DatagramTransport::kMaxDatagramBytes) {
     recorder_.dropped();
     return;
@@ -129,7 +127,7 @@
   member_rumours_.offer_each(limit, [&](const std::string& id) {
     const MemberRecord* record = table_.find(id);
     MemberUpdate update{record == nullptr ? table_.self() : record->member};
-    // Suspicions are not part of the digest on which the receiver agrees.
+    // Suspicions are not part of the digest, so an equal digest does not cover them.
     if (receiver_agrees && update.member.state != MemberState::kSuspect) {
       return Offer::kTaken;
     }
@@ -149,7 +147,7 @@
   queue.offer_each(limit, [&](const std::string& name) {
     const GossipEntry* entry = store_.find(key_of(name));
     if (entry == nullptr) {
-      return Offer::kTaken;  // expired meanwhile; counts down until it is dropped
+      return Offer::kTaken;  // has expired; counted as sent until it is dropped
     }
     if (receiver_agrees && !gossip_kind_expires(entry->kind)) {
       return Offer::kTaken;
@@ -167,7 +165,7 @@
 uint32_t DatagramSender::transmit_limit() const {
   const double members = static_cast<double>(table_.live_count());
   const auto rounds = static_cast<uint32_t>(std::ceil(std::log10(members + 1)));
-  return std::max(knobs_.transmit_multiplier * rounds, knobs_.least_transmissions);
+  return std::max(knobs_.transmit_multiplier * rounds, knobs_.min_transmissions);
 }
 
 }  // namespace chalkshed
--- a/src/membership/datagram_sender.h
+++ b/src/membership/datagram_sender.h
@@ -1,4 +1,4 @@
-// Sends datagrams with as many rumours as fit, within a byte budget.
+// Sends datagrams, filled with as many rumours as fit, within a byte budget.
 #pragma once
 
 #include <string>
@@ -20,21 +20,21 @@
                  const TimeSource& time_source, DatagramTransport& transport,
                  TrafficRecorder& recorder);
 
-  // Queues the newest state of a member, or an entry, to be spread.
+  // Queues the newest state of a member, or an entry, for gossip.
   void spread_member(const NodeId& id);
   void spread_entry(const GossipKey& key);
   bool has_rumours() const;
 
-  // Sends a probe or its answer: digest and rumours are added.
-  // @param receiver_agrees whether the receiver's digest is known to equal this node's. It then
-  // knows all but suspicions and short-lived entries; the others count as sent.
+  // Sends a probe or its response; the digest and rumours are added.
+  // @param receiver_agrees whether the receiver's digest is known to equal this node's. In that
+  // case it lacks at most suspicions and expiring entries, and all other rumours count as sent.
   void send_probe(const Address& to, Datagram datagram, bool receiver_agrees = false);
-  // Sends rumours alone, if there are any. @return false when nothing was sent.
+  // Sends a datagram of rumours only, if there are any. @return false when nothing was sent.
   bool send_gossip(const Address& to);
-  // Sends the datagram as it is.
+  // Sends the datagram without adding a digest or rumours.
   void send_plain(const Address& to, Datagram datagram);
 
-  // One number that is equal on nodes with the same view and the same lasting entries.
+  // A digest that is equal on nodes with the same view and the same persistent entries.
   uint64_t view_digest() const;
   // @return whether the byte budget for dedicated rumour datagrams allows one now.
   bool budget_left();
@@ -53,7 +53,7 @@
   DatagramTransport& transport_;
   TrafficRecorder& recorder_;
 
-  // Entries that configuration waits for go first, then members, then everything else.
+  // In order of priority: time-critical entries, members, all other entries.
   RumourQueue urgent_rumours_;
   RumourQueue member_rumours_;
   RumourQueue entry_rumours_;
--- a/src/membership/failure_detector.cc
+++ b/src/membership/failure_detector.cc
@@ -53,7 +53,7 @@
   ping.kind = DatagramKind::kPing;
   ping.sequence = sequence;
   ping.target = target;
-  // A member that is thought suspect or dead is told, so that it can refute.
+  // Includes a suspect or dead claim in the ping, so that the member can refute it.
   const MemberRecord* record = table_.find(target);
   const bool accused = record != nullptr && (record->suspect() || record->dead());
   if (accused) {
@@ -69,20 +69,20 @@
   sender_.send_probe(to, std::move(ping));
 }
 
-void FailureDetector::send_answer(DatagramKind kind, const Address& to, uint32_t sequence,
-                                  const NodeId& target) {
-  Datagram answer;
-  answer.kind = kind;
-  answer.sequence = sequence;
-  answer.target = target;
-  sender_.send_probe(to, std::move(answer));
+void FailureDetector::send_response(DatagramKind kind, const Address& to, uint32_t sequence,
+                                    const NodeId& target) {
+  Datagram response;
+  response.kind = kind;
+  response.sequence = sequence;
+  response.target = target;
+  sender_.send_probe(to, std::move(response));
 }
 
 void FailureDetector::on_ack(const Datagram& ack) {
   const auto relay = relays_.find(ack.sequence);
   if (relay != relays_.end() && relay->second.target == ack.sender) {
-    send_answer(DatagramKind::kAck, relay->second.origin, relay->second.origin_sequence,
-                relay->second.target);
+    send_response(DatagramKind::kAck, relay->second.origin, relay->second.origin_sequence,
+                  relay->second.target);
     relays_.erase(relay);
     return;
   }
@@ -101,7 +101,7 @@
 void FailureDetector::on_nack(const Datagram& nack) {
   const auto probe = probes_.find(nack.sequence);
   if (probe != probes_.end() && probe->second.target == nack.target) {
-    probe->second.helper_answered = true;
+    probe->second.helper_responded = true;
   }
 }
 
@@ -109,7 +109,7 @@
                                       MonotonicTime now) {
   const MemberRecord* target = table_.find(request.target);
   if (target == nullptr || relays_.size() >= kMaxRelays) {
-    send_answer(DatagramKind::kNack, from, request.sequence, request.target);
+    send_response(DatagramKind::kNack, from, request.sequence, request.target);
     return;
   }
   const uint32_t sequence = next_sequence_++;
@@ -128,7 +128,7 @@
       continue;
     }
     if (now >= probe.indirect_at && !probe.indirect_sent && knobs_.safeguards.indirect_probes) {
-      ask_helpers(at->first, probe);
+      send_ping_requests(at->first, probe);
     }
     ++at;
   }
@@ -137,7 +137,7 @@
   }
 }
 
-void FailureDetector::ask_helpers(uint32_t sequence, Probe& probe) {
+void FailureDetector::send_ping_requests(uint32_t sequence, Probe& probe) {
   probe.indirect_sent = true;
   for (const MemberRecord* helper :
        schedule_.sample(table_, knobs_.indirect_probes, probe.target)) {
@@ -150,7 +150,7 @@
 }
 
 void FailureDetector::on_probe_failed(const Probe& probe, MonotonicTime now) {
-  if (probe.indirect_sent && !probe.helper_answered) {
+  if (probe.indirect_sent && !probe.helper_responded) {
     raise_local_health();
   }
   MemberRecord* record = table_.find(probe.target);
@@ -162,9 +162,9 @@
     on_changed_(probe.target);
     return;
   }
-  const bool news = !record->suspect();
+  const bool newly_suspected = !record->suspect();
   const MonotonicTime deadline = now + scaled(knobs_.suspicion_timeout);
-  if (news) {
+  if (newly_suspected) {
     table_.suspect(*record);
     record->suspicion_deadline = deadline;
   } else {
@@ -173,7 +173,7 @@
   record->suspected_here = true;
   record->next_challenge = now;
   suspects_.insert(probe.target);
-  if (news) {
+  if (newly_suspected) {
     on_changed_(probe.target);
   }
 }
@@ -185,7 +185,7 @@
       ++at;
       continue;
     }
-    send_answer(DatagramKind::kNack, relay.origin, relay.origin_sequence, relay.target);
+    send_response(DatagramKind::kNack, relay.origin, relay.origin_sequence, relay.target);
     at = relays_.erase(at);
   }
 }
@@ -195,8 +195,8 @@
   if (record == nullptr || !record->suspect()) {
     return;
   }
-  // The node that raised the suspicion decides first; this one only when that is not heard of,
-  // and not without having asked the suspect itself.
+  // The node that raised the suspicion declares the death first. This node does so only if it has
+  // received no such update, and after pinging the suspect itself.
   record->suspicion_deadline = now + scaled(knobs_.suspicion_timeout + knobs_.suspicion_backup);
   record->next_challenge = record->suspicion_deadline - knobs_.suspicion_backup / 2;
   suspects_.insert(id);
@@ -247,7 +247,7 @@
   send_ping(address, id, next_sequence_++, kNoClaim);
 }
 
-void FailureDetector::on_frozen(Duration lateness) {
+void FailureDetector::on_stall(Duration lateness) {
   probes_.clear();
   relays_.clear();
   local_health_ = knobs_.max_local_health;
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -1,4 +1,4 @@
-// Finds members that died: probes, indirect probes, suspicions and their deadlines.
+// Failure detector: probes, indirect probes, suspicions and their deadlines.
 #pragma once
 
 #include <cstdint>
@@ -18,27 +18,28 @@
 
 class FailureDetector {
  public:
-  // @param on_changed called with the id of each member whose state the detector changed.
+  // @param on_changed called with the id of each member whose state the detector changes.
   FailureDetector(MemberTable& table, DatagramSender& sender, ProbeSchedule& schedule,
                   const MembershipKnobs& knobs, std::function<void(const NodeId&)> on_changed);
 
-  // Sends the probes that are due and acts on all deadlines that have passed.
+  // Sends the probes that are due and handles all expired deadlines.
   void tick(MonotonicTime now);
 
   void on_ack(const Datagram& ack);
   void on_nack(const Datagram& nack);
   void on_ping_request(const Address& from, const Datagram& request, MonotonicTime now);
 
-  // Starts the deadline of a suspicion that others raised.
+  // Starts the deadline of a suspicion that another node raised.
   void watch_suspect(const NodeId& id, MonotonicTime now);
-  // Probes a living member that a sync claims to be dead, and tells it of the claim.
+  // Probes a live member that a sync claims to be suspect or dead, and sends it the claim.
   void dispute(const NodeId& id, uint64_t incarnation);
-  // Sends a ping that nothing depends on, to a member held dead or only listed.
+  // Pings a member that is considered dead, or a node that is only in the machine list. No timeout
+  // is attached to the ping.
   void contact(const NodeId& id, const Address& address);
-  // This node did not run for `lateness`: its own silence explains every missing answer.
-  void on_frozen(Duration lateness);
+  // This node did not run for `lateness`, which explains every missing response.
+  void on_stall(Duration lateness);
 
-  // How much the node doubts itself, 0 when healthy. Its timeouts grow by this factor plus one.
+  // The local health score, 0 if healthy. Timeouts are multiplied by the score plus one.
   uint32_t local_health() const { return local_health_; }
 
  private:
@@ -47,9 +48,9 @@
     MonotonicTime indirect_at;
     MonotonicTime deadline;
     bool indirect_sent = false;
-    bool helper_answered = false;
+    bool helper_responded = false;
   };
-  // A ping sent on another member's behalf.
+  // A ping that is sent for another member's ping request.
   struct Relay {
     NodeId target;
     Address origin;
@@ -60,9 +61,9 @@
   void start_probe(const MemberRecord& record, uint64_t claimed_incarnation, MonotonicTime now);
   void send_ping(const Address& to, const NodeId& target, uint32_t sequence,
                  uint64_t claimed_incarnation);
-  void send_answer(DatagramKind kind, const Address& to, uint32_t sequence, const NodeId& target);
+  void send_response(DatagramKind kind, const Address& to, uint32_t sequence, const NodeId& target);
   void check_probes(MonotonicTime now);
-  void ask_helpers(uint32_t sequence, Probe& probe);
+  void send_ping_requests(uint32_t sequence, Probe& probe);
   void on_probe_failed(const Probe& probe, MonotonicTime now);
   void check_relays(MonotonicTime now);
   void check_suspects(MonotonicTime now);
--- a/src/membership/gossip_store.h
+++ b/src/membership/gossip_store.h
@@ -1,4 +1,4 @@
-// The gossip entries a node knows: the highest version of each kind and key wins.
+// The gossip entries that a node knows: the highest version of each kind and key wins.
 #pragma once
 
 #include <map>
@@ -21,7 +21,7 @@
 };
 
 enum class GossipMerge {
-  kStored,   // newer than what was known
+  kStored,   // newer than the known version
   kKnown,    // the same or an older version
   kRefused,  // too large, or the store is full
 };
@@ -33,13 +33,13 @@
   GossipMerge merge(const GossipEntry& entry, MonotonicTime now);
   const GossipEntry* find(const GossipKey& key) const;
   std::vector<GossipEntry> entries(const std::string& kind) const;
-  // Drops entries of kinds with a lifetime that were not renewed in time.
+  // Drops entries of expiring kinds that were not renewed in time.
   void expire(MonotonicTime now);
 
-  // Digest over the lasting entries. Kinds with a lifetime are left out: they are sent anew soon,
+  // Digest of the persistent entries. Expiring kinds are excluded: they are published again soon,
   // and they expire at a different time on every node.
   const BucketDigests& buckets() const;
-  // @return lasting entries whose bucket differs from `theirs`.
+  // @return the persistent entries whose bucket differs from `theirs`.
   std::vector<GossipEntry> differing(const BucketDigests& theirs) const;
   size_t size() const { return entries_.size(); }
 
--- a/src/membership/machine_message.h
+++ b/src/membership/machine_message.h
@@ -1,4 +1,4 @@
-// Gossip entries that tell of a machine.
+// Encoding of machines as gossip entries.
 #pragma once
 
 #include <optional>
@@ -10,12 +10,12 @@
 
 inline constexpr std::string_view kMachineGossipKind = "machine";
 
-// Grows with the incarnation, and with the step from live to leaving within one.
+// Increases with the incarnation and, within one incarnation, from live to leaving.
 uint64_t machine_version(const Machine& machine);
 
 GossipEntry encode_machine(const Machine& machine);
 
-// @return nothing when the entry is malformed.
+// @return nothing if the entry is malformed.
 std::optional<Machine> decode_machine(const GossipEntry& entry);
 
 }  // namespace chalkshed
--- a/src/membership/member_table.cc
+++ b/src/membership/member_table.cc
@@ -13,7 +13,7 @@
   return static_cast<uint32_t>(content_hash(stamp_bytes, content_hash(member.id)));
 }
 
-// At one incarnation a later state overrides an earlier one.
+// Within one incarnation, a state of higher precedence overrides one of lower precedence.
 int precedence(MemberState state) {
   switch (state) {
     case MemberState::kAlive:
@@ -53,7 +53,7 @@
 MergeOutcome MemberTable::merge(const Member& claim, ClaimSource source, MonotonicTime now) {
   MemberRecord* record = find(claim.id);
   if (record == nullptr) {
-    // Accusations carry no address, and there is nothing to accuse.
+    // Suspect and dead claims carry no address, and the member is unknown anyway.
     if (accuses(claim)) {
       return MergeOutcome::kIgnored;
     }
@@ -185,7 +185,8 @@
       continue;
     }
     result.push_back(record.member);
-    // A suspicion is news for rumours; a sync passes on what the member last said of itself.
+    // Suspicions are spread as rumours; a sync carries the last state that the member itself
+    // announced.
     if (record.suspect()) {
       result.back().state = record.leaving ? MemberState::kLeaving : MemberState::kAlive;
     }
--- a/src/membership/membership_impl.cc
+++ b/src/membership/membership_impl.cc
@@ -33,7 +33,7 @@
       detector_(table_, sender_, schedule_, knobs_,
                 [this](const NodeId& id) { on_member_changed(id); }),
       sync_(table_, store_, sender_, dependencies.random, knobs_),
-      catch_up_(knobs_.catch_up_patience),
+      catch_up_(knobs_.catch_up_timeout),
       members_gauge_(dependencies.metrics.gauge("chalkshed_members",
                                                 "Members not dead, this node included", {})),
       timer_(dependencies.dispatcher.create_timer([this] { on_tick(); })) {}
@@ -51,7 +51,7 @@
       [this](const Address& from, std::string_view bytes) { on_datagram(from, bytes); });
   sender_.spread_member(table_.self().id);
   fetch_list(last_tick_);
-  // Nodes that start together spread their work over the tick.
+  // A random first delay spreads the work of nodes that start together over the tick.
   const auto tick = static_cast<uint64_t>(knobs_.tick.count());
   timer_->enable(Duration(static_cast<int64_t>(dependencies_.random.below(tick))));
 }
@@ -102,12 +102,12 @@
 void MembershipImpl::on_tick() {
   timer_->enable(knobs_.tick);
   const MonotonicTime now = dependencies_.time_source.monotonic_now();
-  note_lateness(now);
+  detect_stall(now);
   detector_.tick(now);
   sync_.tick(now);
   catch_up_.tick(now);
-  if (catch_up_.done() && !std::exchange(told_caught_up_, true)) {
-    notify_soon();
+  if (catch_up_.done() && !std::exchange(caught_up_notified_, true)) {
+    schedule_notification();
   }
   gossip(now);
   contact_missing(now);
@@ -115,13 +115,13 @@
   fetch_list(now);
 }
 
-void MembershipImpl::note_lateness(MonotonicTime now) {
+void MembershipImpl::detect_stall(MonotonicTime now) {
   const Duration lateness = now - last_tick_ - knobs_.tick;
   last_tick_ = now;
-  if (lateness < knobs_.frozen_threshold || !knobs_.safeguards.local_health) {
+  if (lateness < knobs_.stall_threshold || !knobs_.safeguards.local_health) {
     return;
   }
-  detector_.on_frozen(lateness);
+  detector_.on_stall(lateness);
   const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(lateness);
   dependencies_.logger.write(LogLevel::kWarning, "node_was_frozen",
                              {{"milliseconds", std::to_string(milliseconds.count())}});
@@ -142,9 +142,9 @@
   }
 }
 
-// Until it has caught up, and while it is alone, the node asks candidates for the whole state;
-// later it now and then contacts one that is missing, so that a healed partition or a lagging list
-// is noticed.
+// Until it has caught up, and while it knows no other member, the node requests the full state from
+// candidates. Afterwards it periodically contacts one missing candidate, in order to detect a
+// healed partition or a stale machine list.
 void MembershipImpl::contact_missing(MonotonicTime now) {
   if (now < next_contact_) {
     return;
@@ -181,7 +181,7 @@
     }
   }
   for (const auto& [id, record] : table_.others()) {
-    // A member that said it was leaving is expected to be gone.
+    // A member that announced its leave is expected to be gone.
     if (record.dead() && !record.leaving) {
       candidates.push_back({id, record.member.peer_address});
     }
@@ -208,7 +208,7 @@
   }
   const Duration interval =
       table_.live_count() == 1 ? knobs_.list_retry_interval : knobs_.list_interval;
-  // Between half and one and a half intervals, so that nodes do not ask together.
+  // Between 0.5 and 1.5 intervals, so that nodes do not fetch the list at the same time.
   const auto jitter =
       static_cast<int64_t>(dependencies_.random.below(static_cast<uint64_t>(interval.count())));
   next_list_fetch_ = now + interval / 2 + Duration(jitter);
@@ -245,16 +245,16 @@
     return;
   }
   recorder_.received(datagram->kind, bytes.size());
-  const bool sender_was_dead = held_dead(datagram->sender);
+  const bool sender_was_dead = believed_dead(datagram->sender);
   const bool self_accused = merge_updates(*datagram);
   merge_entries(*datagram);
   dispatch(from, *datagram, self_accused);
-  if (sender_was_dead && !held_dead(datagram->sender)) {
+  if (sender_was_dead && !believed_dead(datagram->sender)) {
     sync_.on_revived(from, dependencies_.time_source.monotonic_now());
   }
 }
 
-bool MembershipImpl::held_dead(const NodeId& id) const {
+bool MembershipImpl::believed_dead(const NodeId& id) const {
   const MemberRecord* record = table_.find(id);
   return record != nullptr && record->dead();
 }
@@ -263,7 +263,7 @@
   const MonotonicTime now = dependencies_.time_source.monotonic_now();
   switch (datagram.kind) {
     case DatagramKind::kPing:
-      answer_ping(from, datagram, self_accused);
+      on_ping(from, datagram, self_accused);
       return;
     case DatagramKind::kAck:
       detector_.on_ack(datagram);
@@ -293,8 +293,8 @@
   }
 }
 
-void MembershipImpl::answer_ping(const Address& from, const Datagram& ping, bool self_accused) {
-  // The address may have belonged to another node before.
+void MembershipImpl::on_ping(const Address& from, const Datagram& ping, bool self_accused) {
+  // The address may have belonged to another node before, for which the ping is meant.
   if (ping.target != table_.self().id) {
     return;
   }
@@ -339,7 +339,7 @@
 bool MembershipImpl::merge_claim_about_self(const Member& claim) {
   const Member& self = table_.self();
   const bool accused = claim.state == MemberState::kSuspect || claim.state == MemberState::kDead;
-  // A higher incarnation than the node's own comes from before a restart with a clock set back.
+  // An incarnation above the node's own dates from before a restart with the clock set back.
   const bool must_refute =
       claim.incarnation > self.incarnation || (accused && claim.incarnation == self.incarnation);
   if (must_refute && knobs_.safeguards.refutation) {
@@ -363,13 +363,13 @@
       break;
   }
   detector_.watch_suspect(claim.id, now);
-  // What a sync brings is known widely already and need not be spread anew.
+  // The content of a sync is already widely known and need not be gossiped again.
   if (source == ClaimSource::kRumour) {
     sender_.spread_member(claim.id);
   }
   sync_.on_view_changed(now);
   log_state(claim);
-  notify_soon();
+  schedule_notification();
 }
 
 void MembershipImpl::merge_entries(const Datagram& datagram) {
@@ -401,7 +401,7 @@
   sync_.on_view_changed(dependencies_.time_source.monotonic_now());
   const MemberRecord* record = table_.find(id);
   log_state(record == nullptr ? table_.self() : record->member);
-  notify_soon();
+  schedule_notification();
 }
 
 void MembershipImpl::log_state(const Member& member) {
@@ -411,7 +411,7 @@
                               {"incarnation", std::to_string(member.incarnation)}});
 }
 
-void MembershipImpl::notify_soon() {
+void MembershipImpl::schedule_notification() {
   if (notification_pending_) {
     return;
   }
--- a/src/membership/membership_impl.h
+++ b/src/membership/membership_impl.h
@@ -1,4 +1,4 @@
-// Membership of a node: joins the cluster, watches the others, and spreads facts among them.
+// Cluster membership of a node: joining, failure detection and gossip.
 #pragma once
 
 #include <functional>
@@ -23,8 +23,8 @@
 
 namespace chalkshed {
 
-// One timer drives all activity. The machine list only names whom to contact: a node absent from
-// it is not dead, and a node in it counts only once it answered.
+// One timer drives all activity. The machine list only provides contact addresses: a node that is
+// not in it is not considered dead, and a listed node becomes a member only once it has responded.
 class MembershipImpl : public MembershipView, public Gossip {
  public:
   // `dependencies` must outlive this object.
@@ -32,10 +32,10 @@
                  MembershipKnobs knobs);
   ~MembershipImpl() override;
 
-  // Begins to receive datagrams, to fetch the machine list and to join.
+  // Starts receiving datagrams, fetching the machine list and joining the cluster.
   void start();
-  // Tells everybody that this node is leaving, then calls `done`. The node keeps answering probes
-  // until it is destroyed.
+  // Announces that this node is leaving, then calls `done`. The node responds to probes until it is
+  // destroyed.
   void leave(std::function<void()> done);
 
   // MembershipView
@@ -48,12 +48,12 @@
   std::optional<GossipEntry> find(const std::string& kind, const std::string& key) const override;
   std::vector<GossipEntry> entries(const std::string& kind) const override;
   void subscribe(std::string kind, std::function<void(const GossipEntry&)> callback) override;
-  // Of both: the same sync brings members and entries.
+  // MembershipView and Gossip: one sync carries both members and entries.
   bool caught_up() const override { return catch_up_.done(); }
 
-  // Datagrams and bytes by kind since the start.
+  // Datagrams and bytes by kind, since the start.
   const MembershipTraffic& traffic() const { return recorder_.traffic(); }
-  // Members not dead, self included.
+  // Number of members that are not dead, self included.
   size_t live_count() const { return table_.live_count(); }
   // Equal on nodes whose views agree.
   uint64_t view_digest() const { return sender_.view_digest(); }
@@ -65,7 +65,7 @@
   };
 
   void on_tick();
-  void note_lateness(MonotonicTime now);
+  void detect_stall(MonotonicTime now);
   void gossip(MonotonicTime now);
   void contact_missing(MonotonicTime now);
   std::vector<Candidate> missing_candidates() const;
@@ -74,11 +74,11 @@
   void on_list(Expected<MachineListSnapshot> list);
 
   void on_datagram(const Address& from, std::string_view bytes);
-  bool held_dead(const NodeId& id) const;
+  bool believed_dead(const NodeId& id) const;
   void dispatch(const Address& from, const Datagram& datagram, bool self_accused);
-  void answer_ping(const Address& from, const Datagram& ping, bool self_accused);
+  void on_ping(const Address& from, const Datagram& ping, bool self_accused);
   void introduce_to(const Address& to);
-  // @return whether the claims hold this node suspect or dead, also at an old incarnation.
+  // @return whether the claims declare this node suspect or dead, even at an old incarnation.
   bool merge_updates(const Datagram& datagram);
   bool merge_claim_about_self(const Member& claim);
   void merge_claim(const Member& claim, ClaimSource source);
@@ -86,7 +86,7 @@
 
   void on_member_changed(const NodeId& id);
   void log_state(const Member& member);
-  void notify_soon();
+  void schedule_notification();
 
   NodeDependencies& dependencies_;
   const MembershipKnobs knobs_;
@@ -98,7 +98,7 @@
   FailureDetector detector_;
   StateSync sync_;
   CatchUp catch_up_;
-  bool told_caught_up_ = false;
+  bool caught_up_notified_ = false;
   Gauge& members_gauge_;
 
   bool started_ = false;
@@ -107,7 +107,7 @@
   MonotonicTime next_contact_;
   MonotonicTime next_housekeeping_;
   MonotonicTime next_list_fetch_;
-  std::map<NodeId, Candidate> listed_;  // nodes in the newest machine list
+  std::map<NodeId, Candidate> listed_;  // nodes in the last fetched machine list
   std::function<void()> on_left_;
   MonotonicTime left_at_;
 
--- a/src/membership/membership_knobs.h
+++ b/src/membership/membership_knobs.h
@@ -1,4 +1,5 @@
-// Tunables of membership and gossip. The defaults keep the cost under 2 KB/s at 360 nodes.
+// Parameters of membership and gossip. The defaults keep the traffic of a node below 2 KB/s in a
+// cluster of 360 nodes.
 #pragma once
 
 #include <chrono>
@@ -9,72 +10,79 @@
 
 namespace chalkshed {
 
-// Mechanisms that carry a guarantee; switched off only by the proofs that must be seen to fail.
+// Mechanisms that a guarantee depends on. Switched off only by tests that show that the guarantee
+// fails without them.
 struct MembershipSafeguards {
-  bool suspicion = true;          // a silent member is suspected before it is declared dead
-  bool refutation = true;         // a member answers claims against it with a higher incarnation
-  bool indirect_probes = true;    // others are asked before a silent member is suspected
-  bool local_health = true;       // a node that was frozen or is cut off doubts itself first
-  bool retry_dead = true;         // dead and merely listed members are contacted again
-  bool version_order = true;      // gossip entries only go up in version
-  bool datagram_checksum = true;  // damaged datagrams are dropped
+  bool suspicion = true;        // an unresponsive member is suspected before it is declared dead
+  bool refutation = true;       // a member refutes claims about itself with a higher incarnation
+  bool indirect_probes = true;  // other members probe an unresponsive member before it is suspected
+  bool local_health = true;   // a node that was stalled or is disconnected extends its own timeouts
+  bool retry_dead = true;     // dead members and listed non-members are contacted again
+  bool version_order = true;  // the version of a gossip entry never decreases
+  bool datagram_checksum = true;  // corrupt datagrams are dropped
 };
 
 struct MembershipKnobs {
-  // One timer drives everything; all deadlines are checked once a tick.
+  // One timer drives all activity; all deadlines are checked once per tick.
   Duration tick = std::chrono::milliseconds(100);
 
   // Failure detection. Probes alternate between the next member in ring order, which bounds the
-  // time until every member is probed, and a shuffled round over all members.
+  // time until each member is probed, and a shuffled round over all members.
   Duration probe_interval = std::chrono::milliseconds(300);
-  Duration ack_timeout = std::chrono::milliseconds(300);    // then others are asked to probe
+  Duration ack_timeout = std::chrono::milliseconds(300);    // then other members are asked to probe
   Duration probe_timeout = std::chrono::milliseconds(900);  // then the member is suspected
   uint32_t indirect_probes = 3;
-  Duration suspicion_timeout = std::chrono::milliseconds(2000);  // for the node that suspected
-  // Added at nodes that only heard of a suspicion; they decide when the one that began it is gone.
+  Duration suspicion_timeout =
+      std::chrono::milliseconds(2000);  // at the node that raised the suspicion
+  // Added at nodes that received the suspicion by gossip. They declare the death if the node that
+  // raised it is gone.
   Duration suspicion_backup = std::chrono::milliseconds(1000);
-  uint32_t max_local_health = 3;  // timeouts grow up to 1 + this times while the node doubts itself
-  Duration frozen_threshold = std::chrono::seconds(1);  // a tick later than this: was frozen
+  uint32_t max_local_health =
+      3;  // timeouts grow up to 1 + this times while the local health is bad
+  Duration stall_threshold =
+      std::chrono::seconds(1);  // a tick that is later than this counts as a stall
 
   // Rumours: updates of members and gossip entries.
   Duration gossip_interval = std::chrono::milliseconds(200);
   uint32_t gossip_fanout = 3;
-  // A rumour is sent this many times log10(members + 1), rounded up.
+  // A rumour is sent this many times log10(members + 1), where the logarithm is rounded up.
   uint32_t transmit_multiplier = 3;
-  // But at least this often, or small clusters miss one in twenty rumours until the next sync.
-  uint32_t least_transmissions = 9;
-  // Beyond this rate dedicated rumour datagrams are held back, and probes carry only as many
-  // rumours as fit into probe_bytes_over_budget.
+  // Lower bound for the above: with fewer transmissions, small clusters missed one in twenty
+  // rumours until the next sync.
+  uint32_t min_transmissions = 9;
+  // Above this rate, dedicated rumour datagrams are deferred, and probes carry only as many rumours
+  // as fit into probe_bytes_over_budget.
   uint32_t gossip_bytes_per_second = 3000;
   uint32_t gossip_burst_bytes = 18000;
   uint32_t probe_bytes_over_budget = 400;
 
-  // Anti-entropy: digests travel on probes; a difference that lasts this long starts a sync.
-  Duration sync_patience = std::chrono::seconds(2);
-  Duration sync_interval = std::chrono::seconds(3);  // least time between syncs a node starts
+  // Anti-entropy: probes carry digests; a difference that persists for this long starts a sync.
+  Duration sync_delay = std::chrono::seconds(2);
+  Duration sync_interval =
+      std::chrono::seconds(3);  // minimum time between syncs that a node starts
   Duration join_interval = std::chrono::milliseconds(500);
   uint32_t join_candidates = 2;
-  // A starting node that nobody answers counts as caught up after this time.
-  Duration catch_up_patience = std::chrono::seconds(2);
-  uint32_t pages_per_tick = 8;  // sync pages a node sends in one tick
+  // A starting node that gets no response counts as caught up after this time.
+  Duration catch_up_timeout = std::chrono::seconds(2);
+  uint32_t pages_per_tick = 8;  // sync pages that a node sends per tick
 
-  // Healing and lists.
+  // Partition healing and machine lists.
   Duration retry_dead_interval = std::chrono::seconds(3);
   Duration tombstone_retention = std::chrono::minutes(10);
   Duration list_interval = std::chrono::seconds(60);
   Duration list_retry_interval = std::chrono::seconds(2);  // until joined
   uint32_t disputes_per_tick = 10;
-  // Syncs that a healed partition starts at once, over the whole cluster.
+  // Number of immediate syncs in the whole cluster after a partition has healed.
   uint32_t healing_syncs = 8;
 
   // Gossip entries.
   uint32_t max_entry_bytes = 800;  // kind, key and value together
   uint32_t max_entries = 16384;
   Duration tenant_usage_lifetime = std::chrono::seconds(60);
-  // Longer than the time in which every node has read the machine list itself.
+  // Longer than the time in which every node reads the machine list itself.
   Duration machine_lifetime = std::chrono::minutes(20);
 
-  // A leaving node has told everyone after this time.
+  // By this time the announcement of a leaving node has reached every member.
   Duration leave_announcement = std::chrono::milliseconds(1500);
 
   MembershipSafeguards safeguards;
--- a/src/membership/membership_view.h
+++ b/src/membership/membership_view.h
@@ -1,4 +1,4 @@
-// The live view of the cluster's nodes and the facts they spread to one another.
+// The view of the cluster's live nodes and the entries that they gossip.
 #pragma once
 
 #include <cstdint>
@@ -16,12 +16,12 @@
 
 enum class MemberState { kAlive, kSuspect, kLeaving, kDead };
 
-// @return the stable lowercase name used in logs and the operators' API.
+// @return the stable lowercase name used in logs and the operator API.
 std::string_view member_state_name(MemberState state);
 
 struct Member {
   NodeId id;
-  Address http_address;  // callers and peers
+  Address http_address;  // for callers and peers
   Address peer_address;  // UDP
   std::string zone;
   std::string region;
@@ -29,7 +29,7 @@
   MemberState state = MemberState::kAlive;
 };
 
-// A small fact spread to every node, last writer (highest version) wins.
+// A small entry that is gossiped to every node. The highest version wins.
 // Kinds in use: "configuration_head", "drain_mark", "tenant_usage".
 struct GossipEntry {
   std::string kind;
@@ -42,25 +42,25 @@
  public:
   virtual ~MembershipView() = default;
   virtual const Member& self() const = 0;
-  // All members not dead, self included, ordered by id.
+  // All members that are not dead, self included, ordered by id.
   virtual std::vector<Member> members() const = 0;
-  // Called after any member's state changed, and when the view has caught up.
+  // The callback runs after the state of any member has changed, and when the view has caught up.
   virtual void subscribe(std::function<void()> callback) = 0;
-  // @return false while a node that just started may know only a part of the members.
+  // @return false while a newly started node may know only some of the members.
   virtual bool caught_up() const { return true; }
 };
 
 class Gossip {
  public:
   virtual ~Gossip() = default;
-  // Spreads an entry; ignored unless its version is higher than the one known.
+  // Publishes an entry to all nodes; ignored unless its version is higher than the known one.
   virtual void publish(GossipEntry entry) = 0;
   virtual std::optional<GossipEntry> find(const std::string& kind,
                                           const std::string& key) const = 0;
   virtual std::vector<GossipEntry> entries(const std::string& kind) const = 0;
-  // Called for each entry learned from others (not for own publications).
+  // The callback runs for each entry received from other nodes, not for own publications.
   virtual void subscribe(std::string kind, std::function<void(const GossipEntry&)> callback) = 0;
-  // @return false while a node that just started may lack entries that the others have.
+  // @return false while a newly started node may lack entries that other nodes have.
   virtual bool caught_up() const { return true; }
 };
 
--- a/src/membership/probe_schedule.cc
+++ b/src/membership/probe_schedule.cc
@@ -47,7 +47,7 @@
                                                        const NodeId& excluded) {
   const std::vector<const MemberRecord*>& live = table.live_others();
   std::vector<const MemberRecord*> chosen;
-  // Draws with replacement and drops repeated ones; a few draws more make up for those.
+  // Draws with replacement and skips duplicates; some extra draws compensate for them.
   const size_t draws = count * kDrawsPerChoice;
   for (size_t draw = 0; draw < draws && chosen.size() < count && !live.empty(); ++draw) {
     const MemberRecord* drawn = live[random_.below(live.size())];
--- a/src/membership/probe_schedule.h
+++ b/src/membership/probe_schedule.h
@@ -9,8 +9,8 @@
 namespace chalkshed {
 
 // Alternates between the next member in ring order, which bounds the time until each member is
-// probed by somebody, and a round over all members that is shuffled anew each time, which finds
-// failures that neighbours share.
+// probed by some node, and a round over all members in a new random order each time, which detects
+// failures that ring neighbours share.
 class ProbeSchedule {
  public:
   explicit ProbeSchedule(RandomGenerator& random) : random_(random) {}
@@ -26,7 +26,7 @@
   const MemberRecord* next_in_round(const MemberTable& table);
 
   RandomGenerator& random_;
-  std::vector<NodeId> round_;  // still to probe, from the back
+  std::vector<NodeId> round_;  // remaining members, probed from the back
   bool ring_turn_ = true;
 };
 
--- a/src/membership/rendezvous.cc
+++ b/src/membership/rendezvous.cc
@@ -8,7 +8,7 @@
 namespace chalkshed {
 namespace {
 
-// A double holds 53 bits exactly.
+// A double represents integers of up to 53 bits exactly.
 constexpr unsigned kUnusedHashBits = 11;
 
 struct ScoredCandidate {
@@ -123,7 +123,7 @@
   const Candidate* best = nullptr;
   uint64_t best_rank = 0;
   for (const Candidate& candidate : *candidates) {
-    // The score of equal weights grows with these bits, so they need no logarithm.
+    // With equal weights the score increases with these bits, so no logarithm is needed.
     const uint64_t rank = content_hash(key, candidate.seed) >> kUnusedHashBits;
     const bool tie_won = best != nullptr && rank == best_rank && candidate.id < best->id;
     if (best == nullptr || rank > best_rank || tie_won) {
--- a/src/membership/rumour_queue.cc
+++ b/src/membership/rumour_queue.cc
@@ -39,11 +39,11 @@
                              const std::function<Offer(const std::string&)>& offer) {
   std::vector<std::string> taken;
   for (const auto& [position, key] : order_) {
-    const Offer answer = offer(key);
-    if (answer == Offer::kStop) {
+    const Offer result = offer(key);
+    if (result == Offer::kStop) {
       break;
     }
-    if (answer == Offer::kTaken) {
+    if (result == Offer::kTaken) {
       taken.push_back(key);
     }
   }
--- a/src/membership/rumour_queue.h
+++ b/src/membership/rumour_queue.h
@@ -1,4 +1,4 @@
-// Which facts still have to be spread, and how often each was sent already.
+// The queue of rumours to be gossiped, with the number of transmissions of each.
 #pragma once
 
 #include <cstdint>
@@ -9,24 +9,24 @@
 
 namespace chalkshed {
 
-// Answer to a fact that is offered for sending.
+// Result of offering a rumour for transmission.
 enum class Offer {
   kTaken,    // will be sent
-  kSkipped,  // does not fit; a later one may
-  kStop,     // nothing more fits
+  kSkipped,  // does not fit; a later one may fit
+  kStop,     // no further one fits
 };
 
-// Holds only keys; the content is looked up when it is sent, so that a fact that changed meanwhile
-// goes out in its newest form. The least sent facts go first, among them the newest.
+// Holds only keys; the content is looked up on transmission, so that the newest version is sent.
+// The rumours with the fewest transmissions go first, and among those the newest.
 class RumourQueue {
  public:
-  // Adds the fact or, when it is queued already, starts its count anew.
-  // @param counted sendings it starts with; those of a less important fact are fewer that way.
+  // Adds a rumour or, if it is already queued, resets its count.
+  // @param counted initial number of transmissions; a rumour of lower priority starts above 0.
   void add(const std::string& key, uint32_t counted = 0);
   void remove(const std::string& key);
 
-  // Offers facts in order until `offer` stops or has seen all. A fact that was taken counts as sent
-  // once more, and is dropped when that was the `transmit_limit`-th time.
+  // Offers the rumours in order until `offer` stops or all were offered. Each accepted rumour
+  // counts as sent once more and is dropped at its `transmit_limit`-th transmission.
   void offer_each(uint32_t transmit_limit, const std::function<Offer(const std::string&)>& offer);
 
   bool empty() const { return order_.empty(); }
@@ -35,7 +35,7 @@
  private:
   struct Position {
     uint32_t sent = 0;
-    uint64_t age_rank = 0;  // lower for newer facts
+    uint64_t age_rank = 0;  // lower for newer rumours
 
     auto operator<=>(const Position&) const = default;
   };
--- a/src/membership/shared_machine_list.cc
+++ b/src/membership/shared_machine_list.cc
@@ -9,8 +9,8 @@
 namespace {
 
 Error list_unavailable() {
-  return not_run(ErrorKind::kStoreUnavailable, "the machine list could not be read just now",
-                 "ask again in a second");
+  return not_run(ErrorKind::kStoreUnavailable, "the machine list cannot be read at the moment",
+                 "retry in a second");
 }
 
 }  // namespace
@@ -18,17 +18,17 @@
 SharedMachineList::SharedMachineList(NodeDependencies& dependencies, SharedMachineListKnobs knobs)
     : dependencies_(dependencies),
       knobs_(knobs),
-      readings_(dependencies.metrics.counter("chalkshed_machine_list_readings_total",
-                                             "Readings of the platform's machine list", {})) {}
+      reads_(dependencies.metrics.counter("chalkshed_machine_list_readings_total",
+                                          "Reads of the platform's machine list", {})) {}
 
 void SharedMachineList::attach(Gossip& gossip) {
   gossip_ = &gossip;
   gossip.subscribe(std::string(kMachineGossipKind),
-                   lifetime_.guard([this](const GossipEntry& entry) { hear(entry); }));
+                   lifetime_.guard([this](const GossipEntry& entry) { on_entry(entry); }));
 }
 
 void SharedMachineList::fetch(Callback<MachineListSnapshot> callback) {
-  const bool due = dependencies_.time_source.monotonic_now() >= next_reading_;
+  const bool due = dependencies_.time_source.monotonic_now() >= next_read_;
   if (!due && !loaded_) {
     dependencies_.dispatcher.post(lifetime_.guard(
         [callback = std::move(callback)] { callback(tl::unexpected(list_unavailable())); }));
@@ -41,13 +41,13 @@
   }
   waiting_.push_back(std::move(callback));
   if (!reading_) {
-    read();
+    start_read();
   }
 }
 
-void SharedMachineList::read() {
+void SharedMachineList::start_read() {
   reading_ = true;
-  readings_.add(1);
+  reads_.add(1);
   dependencies_.machine_list.fetch(
       lifetime_.guard([this](Expected<MachineListSnapshot> list) { on_read(std::move(list)); }));
 }
@@ -56,70 +56,71 @@
   reading_ = false;
   const MonotonicTime now = dependencies_.time_source.monotonic_now();
   if (!list) {
-    next_reading_ = now + knobs_.retry_interval;
-    answer_waiting(tl::unexpected(std::move(list.error())));
+    next_read_ = now + knobs_.retry_interval;
+    complete_waiting(tl::unexpected(std::move(list.error())));
     return;
   }
   shared_ = shared(list->machines.size());
-  next_reading_ = shared_ ? now + reading_interval(list->machines.size()) : now;
-  take(std::move(list->machines));
-  answer_waiting(snapshot());
+  next_read_ = shared_ ? now + read_interval(list->machines.size()) : now;
+  apply_list(std::move(list->machines));
+  complete_waiting(snapshot());
 }
 
 bool SharedMachineList::shared(size_t machines) const {
   return gossip_ != nullptr && machines * knobs_.bytes_per_machine > knobs_.small_list_bytes;
 }
 
-Duration SharedMachineList::reading_interval(size_t machines) {
+Duration SharedMachineList::read_interval(size_t machines) {
   const size_t bytes = machines * knobs_.bytes_per_machine;
-  // Between half and one and a half times the interval, so that nodes do not read together; the
-  // first time sooner, because nodes that started together did.
+  // Between 0.5 and 1.5 intervals, so that nodes do not read at the same time. After the first read
+  // the delay is shorter, 0 to 1 intervals, because nodes that start together read together.
   const double seconds = static_cast<double>(bytes) / knobs_.bytes_per_second;
-  const double stretch = (loaded_ ? 0.5 : 0.0) + dependencies_.random.unit();
-  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds * stretch));
+  const double factor = (loaded_ ? 0.5 : 0.0) + dependencies_.random.unit();
+  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds * factor));
 }
 
-void SharedMachineList::take(std::vector<Machine> machines) {
+void SharedMachineList::apply_list(std::vector<Machine> machines) {
   const MonotonicTime now = dependencies_.time_source.monotonic_now();
-  std::map<std::string, Known> taken;
-  std::vector<Machine> news;
+  std::map<std::string, Known> updated;
+  std::vector<Machine> changes;
   for (Machine& machine : machines) {
     const auto known = machines_.find(machine.id);
     const bool is_known = known != machines_.end();
     const uint64_t known_version = is_known ? machine_version(known->second.machine) : 0;
     const bool newer = !is_known || machine_version(machine) > known_version;
-    // The list lags; what another node told of a machine may be ahead of it.
-    const bool overtaken = is_known && known->second.told_at &&
-                           now - *known->second.told_at < knobs_.told_holds_for &&
-                           machine_version(machine) < known_version;
-    const bool worth_telling = machine.role != MachineRole::kNode;  // members find one another
-    if (shared_ && loaded_ && newer && worth_telling) {
-      news.push_back(machine);
+    // The list may be stale; an announcement of another node may be newer.
+    const bool superseded = is_known && known->second.announced_at &&
+                            now - *known->second.announced_at < knobs_.announcement_lifetime &&
+                            machine_version(machine) < known_version;
+    const bool announce = machine.role != MachineRole::kNode;  // nodes are tracked by membership
+    if (shared_ && loaded_ && newer && announce) {
+      changes.push_back(machine);
     }
-    Known& entry = taken[machine.id];
-    entry = overtaken ? known->second : Known{std::move(machine), std::nullopt};
+    Known& entry = updated[machine.id];
+    entry = superseded ? known->second : Known{std::move(machine), std::nullopt};
   }
   for (const auto& [id, known] : machines_) {
-    const bool just_told = known.told_at && now - *known.told_at < knobs_.told_holds_for;
-    if (just_told && !taken.contains(id)) {
-      taken.emplace(id, known);
+    const bool recently_announced =
+        known.announced_at && now - *known.announced_at < knobs_.announcement_lifetime;
+    if (recently_announced && !updated.contains(id)) {
+      updated.emplace(id, known);
     }
   }
-  machines_ = std::move(taken);
+  machines_ = std::move(updated);
   ++revision_;
-  if (news.size() <= knobs_.told_changes) {
-    for (const Machine& machine : news) {
+  if (changes.size() <= knobs_.max_announced_changes) {
+    for (const Machine& machine : changes) {
       gossip_->publish(encode_machine(machine));
     }
   }
   if (!std::exchange(loaded_, true) && shared_) {
     for (const GossipEntry& entry : gossip_->entries(std::string(kMachineGossipKind))) {
-      hear(entry);
+      on_entry(entry);
     }
   }
 }
 
-void SharedMachineList::hear(const GossipEntry& entry) {
+void SharedMachineList::on_entry(const GossipEntry& entry) {
   std::optional<Machine> machine = decode_machine(entry);
   if (!machine || !loaded_ || !shared_) {
     return;
@@ -136,7 +137,7 @@
 
 MachineListSnapshot SharedMachineList::snapshot() const {
   MachineListSnapshot snapshot;
-  // Every reading of a small list counts for its readers, also one that shows nothing new.
+  // Each read of a small list counts as a new revision, even without changes.
   snapshot.revision = shared_ ? revision_ : 0;
   snapshot.machines.reserve(machines_.size());
   for (const auto& [id, known] : machines_) {
@@ -145,11 +146,11 @@
   return snapshot;
 }
 
-void SharedMachineList::answer_waiting(const Expected<MachineListSnapshot>& answer) {
+void SharedMachineList::complete_waiting(const Expected<MachineListSnapshot>& result) {
   std::vector<Callback<MachineListSnapshot>> waiting = std::move(waiting_);
   waiting_.clear();
   for (const Callback<MachineListSnapshot>& callback : waiting) {
-    callback(answer);
+    callback(result);
   }
 }
 
--- a/src/membership/shared_machine_list.h
+++ b/src/membership/shared_machine_list.h
@@ -1,5 +1,5 @@
-// The machine list, read by all nodes together: each reads it seldom and tells the others what is
-// new in it.
+// The machine list, whose reads all nodes share: each node reads it rarely and announces the
+// changes to the others.
 #pragma once
 
 #include <functional>
@@ -17,63 +17,63 @@
 namespace chalkshed {
 
 struct SharedMachineListKnobs {
-  // A list up to this size is read anew for every fetch: reading it costs less than sharing it.
+  // A list up to this size is read on every fetch: reading it costs less than sharing it.
   size_t small_list_bytes = 16 * 1024;
-  // A larger one is read so seldom that a node stays within this rate. With 360 nodes and 3,000
-  // workers (690 KB by the rig's encoding) that is every 690 s a node, and every 2 s by some node.
+  // A larger list is read rarely enough to stay within this rate. With 360 nodes and 3,000 workers
+  // (690 KB in the emulator's encoding), each node reads it every 690 s, and some node every 2 s.
   double bytes_per_second = 1000;
-  // Bytes of one machine in a list; the platform's encoding decides, this is the emulator's.
+  // Bytes per machine in a list. Depends on the platform's encoding; this is the emulator's.
   size_t bytes_per_machine = 205;
-  // More changes than this in one reading are not told: spreading one costs a node about 1.8 KB, so
-  // that beyond some 380 of them it costs less that every node reads a list of 690 KB itself.
-  size_t told_changes = 256;
-  // What others told holds against an older reading for this long.
-  Duration told_holds_for = std::chrono::seconds(30);
-  // Pause after a reading that failed.
+  // If one read shows more changes than this, none is announced: gossiping a change costs a node
+  // about 1.8 KB, so beyond some 380 changes it is cheaper that each node reads the list of 690 KB
+  // itself.
+  size_t max_announced_changes = 256;
+  // For this long an announcement takes precedence over an older version in the list.
+  Duration announcement_lifetime = std::chrono::seconds(30);
+  // Delay after a failed read.
   Duration retry_interval = std::chrono::seconds(1);
 };
 
-// Stands between the platform's list and everything in a node that reads it. A new or restarted
-// machine, or one that began to leave, is told by gossip ("machine") by the first node that sees
-// it. That a machine is gone is not told: each node finds out itself, at the latest when it uses
-// it.
+// Wraps the platform's list for all its readers in a node. The first node that sees a new,
+// restarted or leaving machine announces it by gossip (kind "machine"). The removal of a machine is
+// not announced: each node detects it itself, at the latest when it uses the machine.
 class SharedMachineList : public MachineList {
  public:
   // `dependencies` must outlive this object; its machine_list is the platform's.
   SharedMachineList(NodeDependencies& dependencies, SharedMachineListKnobs knobs);
 
-  // Begins to listen and to tell. Without it every node reads the list for itself.
+  // Starts receiving and publishing announcements. Without it each node reads the list by itself.
   void attach(Gossip& gossip);
 
-  // Gives what is known, or reads the list when that is due. Errors: kStoreUnavailable.
+  // Returns the known list, or reads it if a read is due. Errors: kStoreUnavailable.
   void fetch(Callback<MachineListSnapshot> callback) override;
 
  private:
   struct Known {
     Machine machine;
-    std::optional<MonotonicTime> told_at;  // when another node told it
+    std::optional<MonotonicTime> announced_at;  // when another node announced it
   };
 
-  void read();
+  void start_read();
   void on_read(Expected<MachineListSnapshot> list);
-  void take(std::vector<Machine> machines);
-  void hear(const GossipEntry& entry);
+  void apply_list(std::vector<Machine> machines);
+  void on_entry(const GossipEntry& entry);
   MachineListSnapshot snapshot() const;
-  // @return whether the list is so large that nodes share its readings.
+  // @return whether the list is so large that nodes share its reads.
   bool shared(size_t machines) const;
-  Duration reading_interval(size_t machines);
-  void answer_waiting(const Expected<MachineListSnapshot>& answer);
+  Duration read_interval(size_t machines);
+  void complete_waiting(const Expected<MachineListSnapshot>& result);
 
   NodeDependencies& dependencies_;
   SharedMachineListKnobs knobs_;
-  Counter& readings_;
+  Counter& reads_;
   Gossip* gossip_ = nullptr;
   std::map<std::string, Known> machines_;
   bool loaded_ = false;
   bool shared_ = false;
   bool reading_ = false;
-  uint64_t revision_ = 0;  // grows with every change of a shared list
-  MonotonicTime next_reading_;
+  uint64_t revision_ = 0;  // increases with every change of a shared list
+  MonotonicTime next_read_;
   std::vector<Callback<MachineListSnapshot>> waiting_;
   Lifetime lifetime_;
 };
--- a/src/membership/state_sync.cc
+++ b/src/membership/state_sync.cc
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr size_t kMaxQueuedPages = 1024;
-// A view that keeps changing is synced after this many times the usual patience.
-constexpr int kMaxPatienceFactor = 3;
+// A view that keeps changing is synced after this many times `sync_delay`.
+constexpr int kMaxDelayFactor = 3;
 
-// Cuts members and entries into datagrams that fit.
+// Splits members and entries into datagrams of the permitted size.
 class PageBuilder {
  public:
   explicit PageBuilder(const NodeId& sender) : header_bytes_(encoded_header_bound(sender, "")) {}
@@ -108,7 +108,7 @@
 
 std::vector<Datagram> StateSync::pages_for(const Datagram& theirs) const {
   PageBuilder builder(table_.self().id);
-  // Entries first: a node that just started waits for them.
+  // Entries first, because a newly started node waits for them.
   for (GossipEntry& entry : store_.differing(*theirs.entry_buckets)) {
     builder.add(std::move(entry));
   }
@@ -135,7 +135,8 @@
   if (!due(now)) {
     return;
   }
-  // The odd one out sees only differences and always syncs; those it met seldom do.
+  // The only node that differs sees no equal digests and always syncs; nodes that have just
+  // compared digests with it rarely do.
   const uint32_t seen = difference_->differing + difference_->equal;
   const bool chosen = random_.below(seen) < difference_->differing;
   const Address peer = difference_->peer;
@@ -150,9 +151,8 @@
     return false;
   }
   const Duration lasted = now - difference_->since;
-  const bool quiet = now - view_changed_at_ >= knobs_.sync_patience;
-  return (quiet && lasted >= knobs_.sync_patience) ||
-         lasted >= kMaxPatienceFactor * knobs_.sync_patience;
+  const bool quiet = now - view_changed_at_ >= knobs_.sync_delay;
+  return (quiet && lasted >= knobs_.sync_delay) || lasted >= kMaxDelayFactor * knobs_.sync_delay;
 }
 
 void StateSync::send_pages() {
--- a/src/membership/state_sync.h
+++ b/src/membership/state_sync.h
@@ -1,4 +1,4 @@
-// Anti-entropy: finds out that two nodes know different things, and exchanges only the difference.
+// Anti-entropy: detects that the state of two nodes differs and exchanges only the differences.
 #pragma once
 
 #include <deque>
@@ -15,23 +15,26 @@
 
 namespace chalkshed {
 
-// Probes carry one digest of everything. When a difference lasts, digests of buckets are exchanged,
-// and then the members and entries of the buckets that differ, in pages, both ways.
+// Probes carry one digest of the whole state. If a difference persists, the nodes exchange digests
+// of buckets, and then the members and entries of the differing buckets, in pages, in both
+// directions.
 class StateSync {
  public:
   StateSync(const MemberTable& table, const GossipStore& store, DatagramSender& sender,
             RandomGenerator& random, const MembershipKnobs& knobs);
 
-  // Notes the digest that a probe or its answer carried.
+  // Records the digest of a probe or ack.
   void on_view_digest(const Address& from, uint64_t digest, MonotonicTime now);
-  // Notes that this node's view changed: rumours are under way, so differences are to be expected.
+  // Records that this node's view changed. Rumours are still spreading then, so differences are
+  // expected.
   void on_view_changed(MonotonicTime now) { view_changed_at_ = now; }
 
-  // A member held dead has answered: others may be back too, and hold this node's side dead.
+  // A member that was considered dead has responded: others may be back as well, and may still
+  // consider the nodes on this side dead.
   void on_revived(const Address& member, MonotonicTime now);
-  // Asks a member for everything that differs.
+  // Requests all differing state from a member.
   void request(const Address& from, MonotonicTime now);
-  // @param caught_up whether this node has all that the others have.
+  // @param caught_up whether this node itself has caught up.
   void on_request(const Address& from, const Datagram& request, bool caught_up);
   void on_response(const Address& from, const Datagram& response);
 
@@ -43,10 +46,10 @@
     Address to;
     Datagram datagram;
   };
-  // What probes told since the first difference.
+  // Results of the digest comparisons since the first difference.
   struct Difference {
     MonotonicTime since;
-    Address peer;  // the last one that differed
+    Address peer;  // the last peer with a different digest
     uint32_t differing = 0;
     uint32_t equal = 0;
   };
--- a/src/membership/traffic.h
+++ b/src/membership/traffic.h
@@ -1,4 +1,4 @@
-// Counts of datagrams and bytes by kind, for metrics and for the scale rig.
+// Counts of datagrams and bytes by kind, for metrics and for the scale tests.
 #pragma once
 
 #include <array>
@@ -14,21 +14,22 @@
 
 struct KindTraffic {
   uint64_t messages_sent = 0;
-  uint64_t bytes_sent = 0;  // payload; add kDatagramOverheadBytes a message for the wire
+  uint64_t bytes_sent =
+      0;  // payload only; add kDatagramOverheadBytes per message for bytes on the wire
   uint64_t messages_received = 0;
   uint64_t bytes_received = 0;
 };
 
 struct MembershipTraffic {
   std::array<KindTraffic, kDatagramKinds> kinds;
-  uint64_t datagrams_dropped = 0;  // malformed or damaged
+  uint64_t datagrams_dropped = 0;  // malformed or corrupt
   uint64_t entries_refused = 0;    // too large, or the store was full
 
   const KindTraffic& of(DatagramKind kind) const { return kinds[static_cast<size_t>(kind)]; }
   KindTraffic total() const;
 };
 
-// Keeps the counts and mirrors them to the metrics registry.
+// Counts the traffic and exports the counts to the metrics registry.
 class TrafficRecorder {
  public:
   explicit TrafficRecorder(MetricsRegistry& metrics);
--- a/tests/membership/datagram_test.cc
+++ b/tests/membership/datagram_test.cc
@@ -33,7 +33,7 @@
   return datagram;
 }
 
-TEST(DatagramTest, ReadsBackWhatWasWritten) {
+TEST(DatagramTest, DecodesWhatWasEncoded) {
   const std::optional<Datagram> read = decode_datagram(encode_datagram(full_datagram()));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->kind, DatagramKind::kPing);
@@ -54,11 +54,11 @@
   EXPECT_EQ(read->entries[0].value, std::string("a\0b", 3));
 }
 
-TEST(DatagramTest, CutAndRandomBytesAreRefusedWithAndWithoutTheChecksum) {
+TEST(DatagramTest, TruncatedAndRandomBytesAreRejectedWithAndWithoutTheChecksum) {
   const std::string whole = encode_datagram(full_datagram());
   for (size_t size = 0; size < whole.size(); ++size) {
     EXPECT_FALSE(decode_datagram(std::string_view(whole).substr(0, size)));
-    // Must not read outside the bytes; the answer may be either.
+    // Must not read out of bounds; either result is allowed.
     decode_datagram(std::string_view(whole).substr(0, size), false);
   }
   SeededRandomGenerator random(1);
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -13,13 +13,13 @@
 constexpr uint64_t kSeed = 20261202;
 constexpr Duration kDetectionLimit = seconds(5);
 
-TEST(MembershipTest, NodesThatStartTogetherFindOneAnother) {
+TEST(MembershipTest, NodesThatStartTogetherFormACluster) {
   VirtualCluster cluster(kSeed);
   cluster.add_nodes(12, 3);
   EXPECT_TRUE(cluster.form());
 }
 
-TEST(MembershipTest, DeadNodeIsFoundWithinFiveSeconds) {
+TEST(MembershipTest, DeadNodeIsDetectedWithinFiveSeconds) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     VirtualCluster cluster(seed);
     cluster.add_nodes(20);
@@ -31,7 +31,7 @@
   }
 }
 
-TEST(MembershipTest, OneWayLossOfOneSecondKillsNobody) {
+TEST(MembershipTest, OneSecondOfOneWayLossCausesNoFalseDeaths) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     VirtualCluster cluster(seed);
     cluster.add_nodes(20);
@@ -100,7 +100,7 @@
   EXPECT_TRUE(cluster.run_until([&] { return cluster.settled(); }, seconds(15)));
 }
 
-TEST(MembershipTest, LostZoneIsFoundAndTheOthersStay) {
+TEST(MembershipTest, LostZoneIsDetectedAndTheOthersStay) {
   VirtualCluster cluster(kSeed);
   cluster.add_nodes(24, 3);
   ASSERT_TRUE(cluster.form());
@@ -151,7 +151,7 @@
   EXPECT_TRUE(cluster.settled());
 }
 
-TEST(MembershipTest, AddressTakenOverByAnotherNodeKillsTheOldOne) {
+TEST(MembershipTest, AddressReusedByAnotherNodeMakesTheOldOneDead) {
   VirtualCluster cluster(kSeed);
   cluster.add_nodes(8);
   ASSERT_TRUE(cluster.form());
--- a/tests/membership/safeguards_test.cc
+++ b/tests/membership/safeguards_test.cc
@@ -1,4 +1,4 @@
-// Each guarantee is seen to fail when the mechanism that carries it is switched off.
+// Each guarantee is shown to fail when the mechanism it depends on is switched off.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,7 +22,7 @@
   return knobs;
 }
 
-// Deaths of living nodes while a node hears nothing for a second.
+// @return how often a running node was declared dead while one node received nothing for a second.
 size_t false_deaths_of_one_way_loss(const MembershipKnobs& knobs) {
   VirtualCluster cluster(3, knobs);
   cluster.add_nodes(kNodes);
@@ -37,20 +37,20 @@
   return cluster.false_deaths();
 }
 
-TEST(MembershipSafeguardsTest, SuspicionCarriesNodesOverAShortLoss) {
+TEST(MembershipSafeguardsTest, SuspicionPreventsFalseDeathsDuringAShortLoss) {
   EXPECT_EQ(false_deaths_of_one_way_loss({}), 0U);
   EXPECT_GT(false_deaths_of_one_way_loss(
                 without([](MembershipSafeguards& off) { off.suspicion = false; })),
             0U);
 }
 
-TEST(MembershipSafeguardsTest, RefutationCarriesNodesOverAShortLoss) {
+TEST(MembershipSafeguardsTest, RefutationPreventsFalseDeathsDuringAShortLoss) {
   EXPECT_GT(false_deaths_of_one_way_loss(
                 without([](MembershipSafeguards& off) { off.refutation = false; })),
             0U);
 }
 
-bool heals(const MembershipKnobs& knobs) {
+bool partition_heals(const MembershipKnobs& knobs) {
   VirtualCluster cluster(5, knobs);
   cluster.add_nodes(kNodes, 2);
   EXPECT_TRUE(cluster.form());
@@ -62,12 +62,13 @@
   return cluster.run_until([&] { return cluster.settled(); }, minutes(2));
 }
 
-TEST(MembershipSafeguardsTest, ContactingTheDeadHealsPartitions) {
-  EXPECT_TRUE(heals({}));
-  EXPECT_FALSE(heals(without([](MembershipSafeguards& off) { off.retry_dead = false; })));
+TEST(MembershipSafeguardsTest, ContactingDeadMembersHealsPartitions) {
+  EXPECT_TRUE(partition_heals({}));
+  EXPECT_FALSE(partition_heals(without([](MembershipSafeguards& off) { off.retry_dead = false; })));
 }
 
-// Runs in which a node that was frozen, while it suspected another, held that one dead.
+// @return the number of runs in which a node that was frozen while it suspected another node
+// declared that node dead.
 size_t false_deaths_after_a_freeze(const MembershipKnobs& knobs) {
   constexpr size_t kFrozen = 4;
   constexpr size_t kSilent = 9;
@@ -76,11 +77,11 @@
     VirtualCluster cluster(seed, knobs);
     cluster.add_nodes(kNodes);
     EXPECT_TRUE(cluster.form());
-    bool held_dead = false;
+    bool declared_dead = false;
     cluster.membership(kFrozen).subscribe([&] {
       const std::vector<Member> members = cluster.membership(kFrozen).members();
-      held_dead =
-          held_dead || std::none_of(members.begin(), members.end(), [](const Member& member) {
+      declared_dead =
+          declared_dead || std::none_of(members.begin(), members.end(), [](const Member& member) {
             return member.id == "node-" + std::to_string(kSilent);
           });
     });
@@ -89,7 +90,7 @@
     };
     cluster.run_for(std::chrono::milliseconds(1800));
     cluster.node(kFrozen).dispatcher().freeze();
-    // What others said meanwhile did not fit into the socket of the frozen process.
+    // Datagrams sent meanwhile are lost, as if the socket buffer of the frozen process were full.
     cluster.faults().cut = [](const NodeIdentity&, const NodeIdentity& to) {
       return to.id == "node-" + std::to_string(kFrozen);
     };
@@ -97,19 +98,19 @@
     cluster.faults().cut = nullptr;
     cluster.node(kFrozen).dispatcher().thaw();
     cluster.run_for(seconds(10));
-    runs += held_dead ? 1 : 0;
+    runs += declared_dead ? 1 : 0;
   }
   return runs;
 }
 
-TEST(MembershipSafeguardsTest, FrozenNodeDropsItsOwnJudgements) {
+TEST(MembershipSafeguardsTest, FrozenNodeDiscardsItsOwnSuspicions) {
   EXPECT_EQ(false_deaths_after_a_freeze({}), 0U);
   EXPECT_GT(false_deaths_after_a_freeze(
                 without([](MembershipSafeguards& off) { off.local_health = false; })),
             0U);
 }
 
-// Datagrams with one changed byte that are taken for good.
+// @return the number of datagrams with one changed byte that are accepted.
 size_t damaged_datagrams_accepted(bool check) {
   Datagram datagram;
   datagram.kind = DatagramKind::kGossip;
@@ -125,7 +126,7 @@
   return accepted;
 }
 
-TEST(MembershipSafeguardsTest, ChecksumDropsDamagedDatagrams) {
+TEST(MembershipSafeguardsTest, ChecksumDropsCorruptDatagrams) {
   EXPECT_EQ(damaged_datagrams_accepted(true), 0U);
   EXPECT_GT(damaged_datagrams_accepted(false), 0U);
 }
@@ -138,7 +139,7 @@
   return store.find({"configuration_head", "head"})->version;
 }
 
-TEST(MembershipSafeguardsTest, EntriesNeverGoBackInVersion) {
+TEST(MembershipSafeguardsTest, EntryVersionsNeverDecrease) {
   EXPECT_EQ(version_after_an_old_entry({}), 8U);
   EXPECT_EQ(version_after_an_old_entry(
                 without([](MembershipSafeguards& off) { off.version_order = false; })),
--- a/tests/membership/scale_test.cc
+++ b/tests/membership/scale_test.cc
@@ -1,4 +1,4 @@
-// The cluster at the size to build towards, in virtual time: deterministic, with costs counted.
+// A cluster of the target size in virtual time: deterministic, with its traffic counted.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -14,8 +14,9 @@
 constexpr uint64_t kSeed = 360;
 constexpr size_t kNodes = 360;
 constexpr size_t kRegions = 8;
-constexpr double kIdleBytesPerSecond = 2000;   // sent and received, headers included
-constexpr double kStormBytesPerSecond = 7000;  // the whole control budget, over the settling time
+constexpr double kIdleBytesPerSecond = 2000;  // sent and received, headers included
+constexpr double kStormBytesPerSecond =
+    7000;  // the whole control traffic budget, averaged over the settling time
 
 uint64_t wire_bytes(const KindTraffic& traffic) {
   const uint64_t messages = traffic.messages_sent + traffic.messages_received;
@@ -32,7 +33,7 @@
   return sum;
 }
 
-// Mean bytes a second of one running node while `cluster` runs for `duration`.
+// @return mean bytes per second of one running node while `cluster` runs for `duration`.
 double bytes_per_second(VirtualCluster& cluster, size_t running, Duration duration) {
   const uint64_t before = total_bytes(cluster);
   cluster.run_for(duration);
@@ -44,7 +45,7 @@
   return std::chrono::duration<double>(cluster.clock().monotonic_now() - since).count();
 }
 
-// All cases share one cluster, which is expensive to form; each leaves it settled.
+// All tests share one cluster, which is expensive to form; each test leaves it settled.
 class ScaleTest : public testing::Test {
  protected:
   static void SetUpTestSuite() {
@@ -52,7 +53,7 @@
     shared_cluster->faults().loss = 0.001;
     shared_cluster->add_nodes(kNodes, kRegions);
     was_formed = shared_cluster->form();
-    shared_cluster->run_for(seconds(15));  // until the rumours of the start have died down
+    shared_cluster->run_for(seconds(15));  // until the rumours of the start have been sent
   }
   static void TearDownTestSuite() { shared_cluster.reset(); }
 
@@ -73,7 +74,7 @@
   EXPECT_TRUE(cluster().settled());
 }
 
-TEST_F(ScaleTest, GossipEntryReachesEverybody) {
+TEST_F(ScaleTest, GossipEntryReachesEveryNode) {
   cluster().membership(0).publish({"configuration_head", "head", 7, "digest"});
   const auto everywhere = [&] {
     for (size_t index = 0; index < kNodes; ++index) {
@@ -86,7 +87,7 @@
   EXPECT_TRUE(cluster().run_until(everywhere, seconds(2)));
 }
 
-TEST_F(ScaleTest, LossOfATwentiethSettles) {
+TEST_F(ScaleTest, LossOfOneTwentiethSettles) {
   constexpr size_t kLost = 18;
   for (size_t lost = 0; lost < kLost; ++lost) {
     cluster().kill(lost * kNodes / kLost);
--- a/tests/membership/shared_machine_list_test.cc
+++ b/tests/membership/shared_machine_list_test.cc
@@ -28,21 +28,21 @@
   return machine;
 }
 
-// Counts the readings of the platform's list.
+// Counts the reads of the platform's list.
 class CountingList : public MachineList {
  public:
-  CountingList(MachineList& inner, size_t& readings) : inner_(inner), readings_(readings) {}
+  CountingList(MachineList& inner, size_t& reads) : inner_(inner), reads_(reads) {}
   void fetch(Callback<MachineListSnapshot> callback) override {
-    ++readings_;
+    ++reads_;
     inner_.fetch(std::move(callback));
   }
 
  private:
   MachineList& inner_;
-  size_t& readings_;
+  size_t& reads_;
 };
 
-// A shared list on every node of a cluster; each is asked once a second, as routing asks.
+// A shared list on every node of a cluster. Each is fetched once a second, as routing does.
 class SharedMachineListTest : public testing::Test {
  protected:
   SharedMachineListTest() : cluster_(1) {
@@ -55,7 +55,7 @@
   void start() {
     ASSERT_TRUE(cluster_.form());
     for (size_t index = 0; index < kNodes; ++index) {
-      readers_.push_back(std::make_unique<Reader>(cluster_.node(index), readings_));
+      readers_.push_back(std::make_unique<Reader>(cluster_.node(index), reads_));
     }
     cluster_.run_for(seconds(5));
   }
@@ -72,8 +72,8 @@
   }
 
   struct Reader {
-    Reader(VirtualNode& node, size_t& readings)
-        : counting(node, readings),
+    Reader(VirtualNode& node, size_t& reads)
+        : counting(node, reads),
           dependencies{node.dependencies().time_source,   node.dependencies().dispatcher,
                        node.dependencies().random,        node.dependencies().table_store,
                        node.dependencies().object_store,  counting,
@@ -82,11 +82,11 @@
                        node.dependencies().peer_server,   node.dependencies().logger,
                        node.dependencies().metrics},
           list(dependencies, {}),
-          timer(node.dispatcher().create_timer([this] { ask(); })) {
+          timer(node.dispatcher().create_timer([this] { poll(); })) {
       list.attach(node.membership());
-      ask();
+      poll();
     }
-    void ask() {
+    void poll() {
       timer->enable(seconds(1));
       list.fetch([this](Expected<MachineListSnapshot> snapshot) {
         known.clear();
@@ -104,21 +104,22 @@
   };
 
   VirtualCluster cluster_;
-  size_t readings_ = 0;
+  size_t reads_ = 0;
   std::vector<std::unique_ptr<Reader>> readers_;
 };
 
-TEST_F(SharedMachineListTest, LargeListIsReadSeldom) {
+TEST_F(SharedMachineListTest, LargeListIsReadRarely) {
   start();
-  const size_t before = readings_;
+  const size_t before = reads_;
   cluster_.run_for(minutes(10));
-  // 412 machines of 205 bytes at 1,000 bytes a second: every 84 s a node, not every second.
-  const size_t readings = readings_ - before;
-  EXPECT_GT(readings, kNodes * 4);
-  EXPECT_LT(readings, kNodes * 12);
+  // 412 machines of 205 bytes at 1,000 bytes per second: one read per node every 84 s, not every
+  // second.
+  const size_t reads = reads_ - before;
+  EXPECT_GT(reads, kNodes * 4);
+  EXPECT_LT(reads, kNodes * 12);
 }
 
-TEST_F(SharedMachineListTest, NewRestartedAndLeavingMachinesAreToldToEveryNode) {
+TEST_F(SharedMachineListTest, NewRestartedAndLeavingMachinesAreAnnouncedToEveryNode) {
   start();
   Machine added = worker(kWorkers, 1);
   Machine restarted = worker(3, 2);
@@ -132,18 +133,18 @@
     return nodes_that_know(added) == kNodes && nodes_that_know(restarted) == kNodes &&
            nodes_that_know(leaving) == kNodes;
   };
-  // One of the nodes reads within some seconds, though each does so every 84 s only.
+  // Some node reads the list within a few seconds, although each one reads only every 84 s.
   EXPECT_TRUE(cluster_.run_until(all_know, seconds(30)));
 }
 
-TEST_F(SharedMachineListTest, OlderReadingDoesNotUndoWhatWasTold) {
+TEST_F(SharedMachineListTest, OlderListDoesNotUndoAnnouncedChanges) {
   start();
   Machine leaving = worker(5, 1);
   leaving.state = MachineState::kLeaving;
   cluster_.membership(0).publish(encode_machine(leaving));
   cluster_.run_for(seconds(5));
-  EXPECT_EQ(nodes_that_know(leaving), kNodes - 1);  // the publisher itself is not told
-  // The list never comes to say so: in the end it is believed.
+  EXPECT_EQ(nodes_that_know(leaving), kNodes - 1);  // the publisher itself gets no callback
+  // The list never shows the change, so in the end the list takes precedence.
   cluster_.run_for(minutes(5));
   EXPECT_EQ(nodes_that_know(worker(5, 1)), kNodes);
 }
@@ -152,8 +153,8 @@
   VirtualCluster cluster(1);
   cluster.add_nodes(3);
   ASSERT_TRUE(cluster.form());
-  size_t readings = 0;
-  CountingList counting(cluster.node(0), readings);
+  size_t reads = 0;
+  CountingList counting(cluster.node(0), reads);
   const NodeDependencies& outer = cluster.node(0).dependencies();
   NodeDependencies dependencies{outer.time_source,   outer.dispatcher,     outer.random,
                                 outer.table_store,   outer.object_store,   counting,
@@ -168,7 +169,7 @@
     });
     cluster.run_for(milliseconds(10));
   }
-  EXPECT_EQ(readings, 5U);
+  EXPECT_EQ(reads, 5U);
 }
 
 }  // namespace
--- a/tests/membership/virtual_cluster.h
+++ b/tests/membership/virtual_cluster.h
@@ -14,7 +14,7 @@
 
 class VirtualNode;
 
-// What happens to datagrams. All chances are probabilities in [0, 1].
+// Faults injected into the network. Loss, duplication and corruption are probabilities in [0, 1].
 struct NetworkFaults {
   double loss = 0;
   double duplication = 0;
@@ -33,14 +33,14 @@
   // Adds nodes spread over `regions` and two zones in each, and lists them as machines.
   void add_nodes(size_t count, size_t regions = 1);
   void start_all();
-  // Starts all nodes and waits until all know all. @return whether that happened in time.
+  // Starts all nodes and waits until each knows all others. @return whether that happened in time.
   bool form();
   void run_for(Duration duration) { clock_.run_for(duration); }
   // Runs until `condition` holds; checked every 50 ms. @return whether it held within `limit`.
   bool run_until(const std::function<bool()>& condition, Duration limit);
 
   void kill(size_t index);
-  // Starts the node anew at the same address and with the same id.
+  // Restarts the node with the same address and id.
   void restart(size_t index, uint64_t incarnation);
 
   VirtualNode& node(size_t index) { return *nodes_[index]; }
@@ -50,9 +50,10 @@
 
   // @return whether every running node knows exactly the running nodes, all alive.
   bool settled() const;
-  // @return how many running nodes hold the node dead or unknown.
+  // @return how many running nodes consider the node dead or do not know it.
   size_t believed_gone(size_t index) const;
-  // Times a running node was held dead by another, counted at every view change since the start.
+  // How often a running node was missing from another node's view, counted at every view change
+  // since watch_false_deaths().
   size_t false_deaths() const { return false_deaths_; }
   void watch_false_deaths();
 
--- a/tests/membership/virtual_node.h
+++ b/tests/membership/virtual_node.h
@@ -11,7 +11,7 @@
 
 namespace chalkshed {
 
-// Membership uses none of these.
+// Dependencies that membership does not use.
 class UnusedTableStore : public TableStore {
  public:
   void read(RowKey, Callback<std::optional<Row>>) override {}
@@ -43,7 +43,7 @@
   VirtualDispatcher& dispatcher() { return process_->dispatcher; }
   NodeDependencies& dependencies() { return process_->dependencies; }
 
-  // Hands a datagram to the process, as its socket would.
+  // Delivers a datagram to the process, as its socket would.
   void receive(const Address& from, std::string datagram) {
     if (!running()) {
       return;
