--- a/src/http/client_connection.cc
+++ b/src/http/client_connection.cc
@@ -22,7 +22,7 @@
 namespace chalkshed {
 namespace {
 
-// A line taken from a buffer, without its line end.
+// A line read from a buffer, without its line terminator.
 class Line {
  public:
   explicit Line(evbuffer* input) : text_(evbuffer_readln(input, &size_, EVBUFFER_EOL_CRLF)) {}
@@ -93,14 +93,15 @@
   }
 }
 
-// The request is written only now that the connection stands: a failure before proves that no byte
-// of it reached the server.
+// The request is written only after the connection is established, so that a failure before this
+// point proves that no byte of it has reached the server.
 void ClientConnection::begin_exchange() {
   state_ = State::kHead;
   const timeval limit = timeval_of(idle_timeout_);
   bufferevent_set_timeouts(socket_, &limit, &limit);
   bufferevent_enable(socket_, EV_READ | EV_WRITE);
-  // Straight to the kernel, to save a turn of the loop; what it does not take is buffered.
+  // Sends directly to save a turn of the event loop. Bytes that the kernel does not accept are
+  // buffered.
   const std::array<std::string_view, 1> parts = {wire_};
   const size_t sent = send_parts(bufferevent_getfd(socket_), parts);
   if (sent < wire_.size()) {
@@ -109,19 +110,19 @@
   wire_ = std::string();
 }
 
-void ClientConnection::rest(Duration lifetime) {
+void ClientConnection::set_idle(Duration lifetime) {
   state_ = State::kIdle;
-  constexpr Duration kBeforeServer = std::chrono::seconds(1);
-  constexpr Duration kShortest = std::chrono::milliseconds(200);
+  constexpr Duration kSafetyMargin = std::chrono::seconds(1);
+  constexpr Duration kMinLifetime = std::chrono::milliseconds(200);
   if (const auto seconds = parser_.head().keep_alive_seconds) {
-    const Duration told = std::chrono::seconds(*seconds);
-    lifetime = std::min(lifetime, std::max(told - kBeforeServer, kShortest));
+    const Duration announced = std::chrono::seconds(*seconds);
+    lifetime = std::min(lifetime, std::max(announced - kSafetyMargin, kMinLifetime));
   }
   const timeval limit = timeval_of(lifetime);
   bufferevent_set_timeouts(socket_, &limit, nullptr);
 }
 
-bool ClientConnection::quiet() const {
+bool ClientConnection::is_silent() const {
   char byte = 0;
   const ssize_t size =
       recv(bufferevent_getfd(socket_), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
@@ -136,7 +137,7 @@
 void ClientConnection::resume_reading() {
   reading_paused_ = false;
   bufferevent_enable(socket_, EV_READ);
-  // What has arrived already waits in the buffer.
+  // Data that has already arrived is in the buffer and triggers no event by itself.
   bufferevent_trigger(socket_, EV_READ, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
 }
 
@@ -181,11 +182,11 @@
       return;
     case State::kHead:
       fail(ErrorKind::kUpstreamFailed, Ran::kUnknown,
-           "the connection " + cause + " before the answer began");
+           "the connection " + cause + " before the response began");
       return;
     case State::kBody:
       fail(ErrorKind::kUpstreamFailed, Ran::kUnknown,
-           "the connection " + cause + " before the end of the answer");
+           "the connection " + cause + " before the end of the response");
       return;
     default:
       close();
@@ -196,7 +197,7 @@
 
 void ClientConnection::read() {
   if (state_ == State::kIdle) {
-    handle_end_of_connection("sent data unasked");
+    handle_end_of_connection("sent unsolicited data");
     return;
   }
   bool progress = true;
@@ -211,7 +212,7 @@
   head_bytes_ += line ? line.text().size() : 0;
   const size_t pending = line ? 0 : evbuffer_get_length(input);
   if (head_bytes_ + pending > max_header_bytes_) {
-    fail(ErrorKind::kUpstreamFailed, Ran::kUnknown, "the answer's headers exceed the limit");
+    fail(ErrorKind::kUpstreamFailed, Ran::kUnknown, "the response headers exceed the limit");
     return false;
   }
   if (!line) {
@@ -221,7 +222,7 @@
     case ResponseHeadParser::Progress::kMore:
       return true;
     case ResponseHeadParser::Progress::kMalformed:
-      fail(ErrorKind::kUpstreamFailed, Ran::kUnknown, "the answer is not well-formed HTTP");
+      fail(ErrorKind::kUpstreamFailed, Ran::kUnknown, "the response is not well-formed HTTP");
       return false;
     case ResponseHeadParser::Progress::kComplete:
       break;
@@ -262,20 +263,20 @@
   const Line line(input);
   if (!line) {
     if (evbuffer_get_length(input) > max_header_bytes_) {
-      fail(ErrorKind::kUpstreamFailed, Ran::kUnknown, "the answer has a malformed chunk");
+      fail(ErrorKind::kUpstreamFailed, Ran::kUnknown, "the response has a malformed chunk");
     }
     return false;
   }
   if (awaiting_chunk_end_) {
     awaiting_chunk_end_ = false;
     if (!line.text().empty()) {
-      fail(ErrorKind::kUpstreamFailed, Ran::kUnknown, "the answer has a malformed chunk");
+      fail(ErrorKind::kUpstreamFailed, Ran::kUnknown, "the response has a malformed chunk");
     }
     return state_ == State::kBody;
   }
   const std::optional<uint64_t> size = parse_chunk_size(line.text());
   if (!size) {
-    fail(ErrorKind::kUpstreamFailed, Ran::kUnknown, "the answer has a malformed chunk");
+    fail(ErrorKind::kUpstreamFailed, Ran::kUnknown, "the response has a malformed chunk");
     return false;
   }
   remaining_ = *size;
@@ -286,11 +287,11 @@
 
 bool ClientConnection::read_trailer(evbuffer* input) {
   const Line line(input);
-  // Counts on from the head; both together are bounded.
+  // The limit applies to head and trailer together.
   head_bytes_ += line ? line.text().size() : 0;
   const size_t pending = line ? 0 : evbuffer_get_length(input);
   if (head_bytes_ + pending > max_header_bytes_) {
-    fail(ErrorKind::kUpstreamFailed, Ran::kUnknown, "the answer's trailer exceeds the limit");
+    fail(ErrorKind::kUpstreamFailed, Ran::kUnknown, "the response trailer exceeds the limit");
     return false;
   }
   if (!line) {
@@ -320,10 +321,10 @@
 
 void ClientConnection::complete() {
   HttpCallCallbacks* callbacks = std::exchange(callbacks_, nullptr);
-  const bool quiet = evbuffer_get_length(bufferevent_get_input(socket_)) == 0 &&
-                     evbuffer_get_length(bufferevent_get_output(socket_)) == 0;
+  const bool is_silent = evbuffer_get_length(bufferevent_get_input(socket_)) == 0 &&
+                         evbuffer_get_length(bufferevent_get_output(socket_)) == 0;
   const auto self = shared_from_this();
-  if (parser_.head().keep_alive && quiet) {
+  if (parser_.head().keep_alive && is_silent) {
     observer_.on_reusable(*this);
   } else {
     close();
@@ -338,8 +339,8 @@
   close();
   observer_.on_finished(*this);
   const char* remedy = ran == Ran::kNo
-                           ? "check that the server runs and is reachable; a resend is safe"
-                           : "the request may have run; resend it only if that is harmless";
+                           ? "check that the server is running and reachable; it is safe to retry"
+                           : "the request may have run; retry it only if it is idempotent";
   callbacks->on_error(Error{kind, to_string(key_.server) + ": " + what, remedy, ran, std::nullopt});
 }
 
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -1,4 +1,5 @@
-// One TCP connection of the HTTP client: sends a request, parses its answer, tells its fate.
+// One TCP connection of the HTTP client: sends a request, parses the response and reports the
+// outcome.
 #pragma once
 
 #include <memory>
@@ -14,7 +15,7 @@
 
 namespace chalkshed {
 
-// Connections that wait for reuse are told apart by server and pool.
+// Idle connections are reused only for the same server and pool.
 struct ConnectionKey {
   Address server;
   std::string pool;
@@ -24,13 +25,13 @@
 
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
-  // What becomes of a connection; the client keeps or drops it.
+  // Notified when an exchange or the connection ends; the client keeps or drops the connection.
   class Observer {
    public:
     virtual ~Observer() = default;
-    // The answer is complete and the connection can serve another request.
+    // The response is complete and the connection can be used for another request.
     virtual void on_reusable(ClientConnection& connection) = 0;
-    // The connection is closed for good.
+    // The connection is closed and will not be used again.
     virtual void on_finished(ClientConnection& connection) = 0;
   };
 
@@ -41,28 +42,28 @@
   ClientConnection& operator=(const ClientConnection&) = delete;
 
   const ConnectionKey& key() const { return key_; }
-  // Connects unless connected, sends the request and reports to `callbacks`, never inside this
+  // Connects if necessary, sends the request and reports to `callbacks`, never from within this
   // call.
-  // @param wire the request as it goes over the wire.
+  // @param wire the serialized request.
   void send(std::string wire, bool head_only, const HttpCallOptions& options,
             HttpCallCallbacks& callbacks);
-  // Whether the server has neither closed the idle connection nor sent anything unasked, as far as
-  // the kernel knows. What it sent would pass for the answer to the next request.
-  bool quiet() const;
-  // Numbers the requests sent over this connection.
+  // Whether, as far as the kernel knows, the server has neither closed the idle connection nor sent
+  // unsolicited data, which would be taken for the response to the next request.
+  bool is_silent() const;
+  // Sequence number of the current or last request on this connection.
   uint64_t exchange_number() const { return exchange_number_; }
-  // Whether the answer to that request has not ended.
+  // Whether the response to that request has not ended.
   bool in_exchange(uint64_t number) const {
     return callbacks_ != nullptr && exchange_number_ == number;
   }
-  // No event arrives between these two.
+  // No events are delivered while reading is paused.
   void pause_reading();
   void resume_reading();
-  // Closes without telling the callbacks.
+  // Closes without notifying the callbacks.
   void close();
-  // Waits in a pool; closes by itself after `lifetime`, or a second before the server says that it
-  // would: a request sent as the server closes is lost without a trace.
-  void rest(Duration lifetime);
+  // Marks the connection as idle. It closes after `lifetime`, or one second before the idle timeout
+  // that the server announced: a request sent while the server closes is lost without an error.
+  void set_idle(Duration lifetime);
 
  private:
   enum class State { kNew, kConnecting, kHead, kBody, kIdle, kClosed };
@@ -76,7 +77,7 @@
   bool read_body(evbuffer* input);
   bool read_chunk_line(evbuffer* input);
   bool read_trailer(evbuffer* input);
-  // Hands up to `limit` bytes on. @return bytes handed on.
+  // Passes up to `limit` bytes to the callbacks. @return the number of bytes passed.
   size_t deliver(evbuffer* input, uint64_t limit);
   void handle_end_of_connection(const std::string& cause);
   void complete();
@@ -95,8 +96,8 @@
   bool reading_paused_ = false;
   ResponseHeadParser parser_{false};
   size_t head_bytes_ = 0;
-  uint64_t remaining_ = 0;           // of the body or the chunk under way
-  bool awaiting_chunk_end_ = false;  // the line end behind a chunk's data
+  uint64_t remaining_ = 0;           // bytes left of the body or the current chunk
+  bool awaiting_chunk_end_ = false;  // expects the line terminator after a chunk's data
   bool in_trailer_ = false;
 };
 
--- a/src/http/error_response.cc
+++ b/src/http/error_response.cc
@@ -7,18 +7,18 @@
 namespace chalkshed {
 namespace {
 
-// Longer waits told by the other side mean nothing, and far longer ones don't fit a Duration.
-constexpr int64_t kLongestRetryAfterSeconds = 24 * 3600;
+// Longer delays from a remote server are not plausible, and far longer ones overflow Duration.
+constexpr int64_t kMaxRetryAfterSeconds = 24 * 3600;
 
 long retry_after_seconds(Duration retry_after) {
   const double seconds = std::chrono::duration<double>(retry_after).count();
   return std::max(1L, std::lround(std::ceil(seconds)));
 }
 
-Error foreign_error(const HttpResponse& response) {
+Error unknown_error(const HttpResponse& response) {
   return maybe_run(ErrorKind::kUpstreamFailed,
-                   "the other side answered with status " + std::to_string(response.status),
-                   "check the other side's log");
+                   "the remote server responded with status " + std::to_string(response.status),
+                   "check the log of the remote server");
 }
 
 }  // namespace
@@ -51,7 +51,7 @@
 Error parse_error_response(const HttpResponse& response) {
   const nlohmann::json body = nlohmann::json::parse(response.body, nullptr, false);
   if (!body.is_object() || !body.contains("error") || !body["error"].is_object()) {
-    return foreign_error(response);
+    return unknown_error(response);
   }
   const nlohmann::json& fields = body["error"];
   const auto text = [&](const char* name) {
@@ -60,7 +60,7 @@
   };
   const std::optional<ErrorKind> kind = error_kind_of(text("kind"));
   if (!kind) {
-    return foreign_error(response);
+    return unknown_error(response);
   }
   Error error{*kind, text("message"), text("remedy"), Ran::kUnknown, std::nullopt};
   if (text("ran") == ran_name(Ran::kNo)) {
@@ -70,7 +70,7 @@
   if (retry_after != fields.end() && retry_after->is_number_integer()) {
     const int64_t seconds = retry_after->get<int64_t>();
     error.retry_after =
-        std::chrono::seconds(std::clamp<int64_t>(seconds, 0, kLongestRetryAfterSeconds));
+        std::chrono::seconds(std::clamp<int64_t>(seconds, 0, kMaxRetryAfterSeconds));
   }
   return error;
 }
--- a/src/http/error_response.h
+++ b/src/http/error_response.h
@@ -1,4 +1,4 @@
-// The HTTP form of errors, one for all handlers.
+// The HTTP representation of errors, shared by all handlers.
 #pragma once
 
 #include "src/core/error.h"
@@ -7,15 +7,16 @@
 namespace chalkshed {
 
 // JSON body {"error": {"type", "kind", "message", "remedy", "ran", "retry_after_seconds"?}}. The
-// outer shape and "type"/"message" are what OpenAI client libraries read; "type" equals "kind".
+// outer structure, "type" and "message" are what OpenAI client libraries read; "type" equals
+// "kind".
 std::string error_body(const Error& error);
 
-// Whole response with the kind's status and, where the error tells when to come back, Retry-After
-// (whole seconds, rounded up, at least 1).
+// @return the complete response with the status of the error kind and, if the error has a retry
+// delay, Retry-After (whole seconds, rounded up, at least 1).
 HttpResponse error_response(const Error& error);
 
-// Reads an error back from a response that another chalkshed process made. A body of another shape
-// gives kUpstreamFailed that may have run.
+// Parses an error response of another chalkshed process. A body of any other format results in
+// kUpstreamFailed, with Ran::kUnknown.
 Error parse_error_response(const HttpResponse& response);
 
 }  // namespace chalkshed
--- a/src/http/event_http_client.cc
+++ b/src/http/event_http_client.cc
@@ -35,9 +35,8 @@
                       [](char character) { return character != '\t' && is_control(character); });
 }
 
-// Whether no part of the request could be taken for another part on the wire. A name such as
-// "Transfer-Encoding " counts as that header for some servers, which would then find the end of the
-// request elsewhere.
+// Whether the request is safe from request smuggling. Some servers, for example, accept the name
+// "Transfer-Encoding " as that header and would then find the end of the request elsewhere.
 bool well_formed(const HttpRequest& request) {
   if (request.path.empty() || !is_target(request.path) || !is_target(request.query) ||
       !is_header_name(request.method)) {
@@ -71,7 +70,7 @@
   return wire;
 }
 
-// A call; destroying it closes its connection unless the answer has ended.
+// A call; destroying it closes its connection unless the response has ended.
 class Call : public HttpCall {
  public:
   ~Call() override {
@@ -100,7 +99,7 @@
   uint64_t connection_use() const override { return std::max<uint64_t>(exchange_, 1); }
 
  private:
-  // The connection while it still carries this call's answer.
+  // @return the connection if it still carries this call's response.
   std::shared_ptr<ClientConnection> open_connection() const {
     auto connection = connection_.lock();
     return connection && connection->in_exchange(exchange_) ? connection : nullptr;
@@ -111,14 +110,15 @@
   uint64_t exchange_ = 0;
 };
 
-// Collects a whole answer. The client owns it until it has called back, so that it ends with the
-// client: one that owned itself would outlive a client that closes its connections silently.
+// Collects a complete response. The client owns it until it has invoked its callback, so that it is
+// destroyed with the client: a self-owning collector would outlive a client that closes its
+// connections without notification.
 class Collector : public HttpCallCallbacks {
  public:
   Collector(size_t max_bytes, Callback<HttpResponse> callback)
       : max_bytes_(max_bytes), callback_(std::move(callback)) {}
 
-  // @param release takes the collector out of its owner's hands.
+  // @param release transfers ownership of the collector from the client to the caller.
   void begin(HttpCallPtr call, std::function<std::shared_ptr<Collector>()> release) {
     call_ = std::move(call);
     release_ = std::move(release);
@@ -129,8 +129,8 @@
   }
   void on_body(std::string_view data) override {
     if (response_.body.size() + data.size() > max_bytes_) {
-      on_error(maybe_run(ErrorKind::kUpstreamFailed, "the answer exceeds the limit",
-                         "ask for less at a time"));
+      on_error(maybe_run(ErrorKind::kUpstreamFailed, "the response exceeds the limit",
+                         "request less data at a time"));
       return;
     }
     response_.body.append(data);
@@ -174,7 +174,7 @@
  private:
   using ConnectionPtr = std::shared_ptr<ClientConnection>;
 
-  ConnectionPtr take_idle(const ConnectionKey& key);
+  ConnectionPtr reuse_idle(const ConnectionKey& key);
   void drop(ClientConnection& connection);
   HttpCallPtr refuse(const Address& server, HttpCallCallbacks& callbacks);
   std::shared_ptr<Collector> release(const Collector* collector);
@@ -183,9 +183,9 @@
   EventHttpClientKnobs knobs_;
   // All connections in use or idle, by identity.
   std::unordered_map<const ClientConnection*, ConnectionPtr> connections_;
-  // Idle ones; the last used is taken first.
+  // The idle ones; the most recently used is reused first.
   std::map<ConnectionKey, std::vector<ClientConnection*>> idle_;
-  // Of the fetches under way, by identity.
+  // Collectors of the fetches in progress, by identity.
   std::unordered_map<const Collector*, std::shared_ptr<Collector>> collectors_;
 };
 
@@ -196,7 +196,7 @@
     return refuse(server, callbacks);
   }
   ConnectionKey key{server, options.pool};
-  ConnectionPtr connection = options.fresh_connection ? nullptr : take_idle(key);
+  ConnectionPtr connection = options.fresh_connection ? nullptr : reuse_idle(key);
   if (!connection) {
     connection = std::make_shared<ClientConnection>(dispatcher_, std::move(key),
                                                     knobs_.max_header_bytes, *this);
@@ -210,7 +210,7 @@
                      exchange = connection->exchange_number()] {
     const auto client = weak.lock();
     const ConnectionPtr target = connection.lock();
-    // Once its answer has ended the connection may already serve another call.
+    // Once the response has ended, the connection may already carry another call.
     if (client && target && target->in_exchange(exchange)) {
       client->drop(*target);
     }
@@ -226,15 +226,16 @@
   dispatcher_.post([alive, server, &callbacks, weak = weak_from_this()] {
     if (*alive && !weak.expired()) {
       callbacks.on_error(not_run(ErrorKind::kInvalidRequest,
-                                 to_string(server) + ": the request's path or headers hold spaces "
-                                                     "or control characters",
+                                 to_string(server) +
+                                     ": the request's path or headers contain spaces "
+                                     "or control characters",
                                  "encode the path and headers"));
     }
   });
   return call;
 }
 
-EventHttpClient::Implementation::ConnectionPtr EventHttpClient::Implementation::take_idle(
+EventHttpClient::Implementation::ConnectionPtr EventHttpClient::Implementation::reuse_idle(
     const ConnectionKey& key) {
   const auto found = idle_.find(key);
   if (found == idle_.end()) {
@@ -245,7 +246,7 @@
   while (!idle.empty()) {
     ConnectionPtr connection = connections_.at(idle.back());
     idle.pop_back();
-    if (connection->quiet()) {
+    if (connection->is_silent()) {
       if (!idle.empty()) {
         idle_.emplace(key, std::move(idle));
       }
@@ -268,7 +269,7 @@
     drop(connection);
     return;
   }
-  connection.rest(knobs_.idle_connection_lifetime);
+  connection.set_idle(knobs_.idle_connection_lifetime);
   idle.push_back(&connection);
 }
 
@@ -300,7 +301,8 @@
 }
 
 void EventHttpClient::Implementation::close_all() {
-  // Out of the map first: dropping one drops its connection too, and what its callback holds.
+  // Cleared via a local map, because destroying a collector also destroys its connection and
+  // whatever its callback owns.
   std::exchange(collectors_, {}).clear();
   idle_.clear();
   for (auto& [key, connection] : connections_) {
--- a/src/http/event_http_client.h
+++ b/src/http/event_http_client.h
@@ -8,19 +8,20 @@
 namespace chalkshed {
 
 struct EventHttpClientKnobs {
-  // Kept-alive connections of one server and pool that wait for reuse.
+  // Maximum number of idle connections per server and pool.
   size_t max_idle_connections = 256;
-  // Shorter than servers keep idle connections, so that a reused one is rarely stale.
+  // Shorter than the time for which servers keep idle connections, so that few reused ones are
+  // stale.
   Duration idle_connection_lifetime = std::chrono::seconds(10);
   size_t max_header_bytes = 64 * 1024;
-  // Largest body that fetch() collects.
+  // Maximum size of a body that fetch() collects.
   size_t max_fetched_bytes = 256 * 1024 * 1024;
 };
 
 class EventHttpClient : public HttpClient {
  public:
   explicit EventHttpClient(EventDispatcher& dispatcher, const EventHttpClientKnobs& knobs = {});
-  // Abandons all calls; their callbacks are not called any more.
+  // Abandons all calls without invoking their callbacks.
   ~EventHttpClient() override;
   EventHttpClient(const EventHttpClient&) = delete;
   EventHttpClient& operator=(const EventHttpClient&) = delete;
@@ -30,7 +31,7 @@
   void fetch(const Address& server, const HttpRequest& request, const HttpCallOptions& options,
              Callback<HttpResponse> callback) override;
 
-  // Connections that are open now, in use or idle.
+  // Number of open connections, in use or idle.
   size_t open_connections() const;
 
  private:
--- a/src/http/evhttp_messages.cc
+++ b/src/http/evhttp_messages.cc
@@ -31,7 +31,7 @@
   }
 }
 
-std::string_view without_blanks(std::string_view text) {
+std::string_view trimmed(std::string_view text) {
   constexpr std::string_view kBlanks = " \t";
   const size_t first = text.find_first_not_of(kBlanks);
   return first == std::string_view::npos
@@ -44,7 +44,7 @@
   std::vector<std::string> values;
   for (const HttpHeader& header : headers) {
     if (lower_case(header.name) == lower_name) {
-      values.emplace_back(without_blanks(header.value));
+      values.emplace_back(trimmed(header.value));
     }
   }
   return values;
@@ -54,7 +54,7 @@
   return !text.empty() && text.find_first_not_of("0123456789") == std::string_view::npos;
 }
 
-bool framed_by_server(std::string_view header_name) {
+bool set_by_server(std::string_view header_name) {
   const HttpHeaders header = {{std::string(header_name), ""}};
   return find_header(header, "Transfer-Encoding") || find_header(header, "Keep-Alive");
 }
@@ -89,7 +89,7 @@
   return bytes;
 }
 
-bool is_framed_for_all(const HttpRequest& request) {
+bool has_unambiguous_framing(const HttpRequest& request) {
   const bool names_are_tokens =
       std::all_of(request.headers.begin(), request.headers.end(),
                   [](const HttpHeader& header) { return is_header_name(header.name); });
@@ -111,15 +111,15 @@
 void add_headers(evhttp_request* request, const HttpHeaders& headers) {
   evkeyvalq* output = evhttp_request_get_output_headers(request);
   for (const HttpHeader& header : headers) {
-    if (!framed_by_server(header.name)) {
+    if (!set_by_server(header.name)) {
       evhttp_add_header(output, header.name.c_str(), header.value.c_str());
     }
   }
 }
 
-std::string protocol_error_text(int status, const std::string& limits) {
+std::string protocol_error_response(int status, const std::string& limits) {
   Error error = not_run(ErrorKind::kInvalidRequest,
-                        "the HTTP request is malformed or its headers are far over the limit",
+                        "the HTTP request is malformed or its headers greatly exceed the limit",
                         "send a well-formed HTTP/1.1 request with at most " + limits);
   if (status == HTTP_ENTITYTOOLARGE) {
     error = not_run(ErrorKind::kTooLarge, "the request's body exceeds the limit",
--- a/src/http/evhttp_messages.h
+++ b/src/http/evhttp_messages.h
@@ -1,4 +1,4 @@
-// Conversion between evhttp's requests and ours.
+// Conversion between evhttp requests and HttpRequest.
 #pragma once
 
 #include <string>
@@ -9,22 +9,22 @@
 
 namespace chalkshed {
 
-// Takes the body out of `request`. The peer is left empty.
+// Moves the body out of `request`. The peer is left empty.
 HttpRequest read_request(evhttp_request* request);
 
-// @return bytes of the target and all headers.
+// @return the number of bytes of the target and all headers.
 size_t header_bytes(const HttpRequest& request);
 
-// Whether every reader of HTTP finds the end of the request where evhttp has found it. evhttp takes
-// the first of several lengths, reads no body behind a coding that it does not know or behind HEAD,
-// and then takes the body for the next request of the connection.
-bool is_framed_for_all(const HttpRequest& request);
+// Whether every HTTP implementation finds the end of the request where evhttp found it. evhttp uses
+// the first of several lengths and reads no body after an unknown transfer coding or a HEAD
+// request; it then takes the body for the next request on the connection.
+bool has_unambiguous_framing(const HttpRequest& request);
 
-// Adds the headers of an answer, except those by which the server itself frames it.
+// Adds response headers, except those that the server itself sets for framing.
 void add_headers(evhttp_request* request, const HttpHeaders& headers);
 
-// @param limits what may be sent, in words.
-// @return the whole answer, as bytes, to a request that evhttp refused before any handler saw it.
-std::string protocol_error_text(int status, const std::string& limits);
+// @param limits description of the size limits.
+// @return the serialized response to a request that evhttp rejected before it reached a handler.
+std::string protocol_error_response(int status, const std::string& limits);
 
 }  // namespace chalkshed
--- a/src/http/http_router.cc
+++ b/src/http/http_router.cc
@@ -24,8 +24,9 @@
     handler->handle(std::move(request), std::move(writer));
     return;
   }
-  writer->respond(error_response(not_run(ErrorKind::kNotFound, "no such path: " + request.path,
-                                         "see the operators' pages for the paths served")));
+  writer->respond(
+      error_response(not_run(ErrorKind::kNotFound, "no such path: " + request.path,
+                             "see the operator documentation for the supported paths")));
 }
 
 }  // namespace chalkshed
--- a/src/http/http_router.h
+++ b/src/http/http_router.h
@@ -1,4 +1,4 @@
-// Chooses a handler by the request's path.
+// Dispatches requests to handlers by path prefix.
 #pragma once
 
 #include <map>
@@ -10,10 +10,10 @@
 
 class HttpRouter : public HttpHandler {
  public:
-  // Requests whose path is `prefix`, or goes on behind it with '/', go to `handler`, which must
-  // outlive the router. The longest prefix wins; the empty one takes every path.
+  // Dispatches requests whose path is `prefix`, or continues after it with '/', to `handler`, which
+  // must outlive the router. The longest prefix wins; the empty one matches every path.
   void add(std::string prefix, HttpHandler& handler) { handlers_[std::move(prefix)] = &handler; }
-  // Answers kNotFound when no prefix fits.
+  // Responds with kNotFound if no prefix matches.
   void handle(HttpRequest request, ResponseWriterPtr writer) override;
 
  private:
--- a/src/http/http_server.cc
+++ b/src/http/http_server.cc
@@ -27,18 +27,19 @@
 namespace {
 
 constexpr int kListenBacklog = 1024;
-// What a caller may send ahead while its request is being answered.
+// Limit for the bytes that a caller may send while its previous request is being handled.
 constexpr size_t kMaxPipelinedBytes = 64 * 1024;
-// evhttp itself calls headers over its limit malformed. It gets a higher one, so that the usual
-// excess is told apart and named.
+// evhttp reports headers over its own limit as malformed. Its limit is set higher, so that
+// moderately oversized headers get a specific error.
 constexpr size_t kHeaderHeadroom = 8;
 constexpr int kAllowedMethods = EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_PUT |
                                 EVHTTP_REQ_DELETE | EVHTTP_REQ_PATCH | EVHTTP_REQ_HEAD |
                                 EVHTTP_REQ_OPTIONS;
 
-// HTTP/1.0 has no chunks: the end of the connection tells the end of a streamed answer. Left alone,
-// evhttp honours the caller's keep-alive with a Content-Length of 0, which makes the answer empty.
-void end_with_connection(evhttp_request* request) {
+// HTTP/1.0 has no chunked coding, so closing the connection marks the end of a streamed response.
+// By default, evhttp honours the caller's keep-alive with a Content-Length of 0, which makes the
+// response empty.
+void close_after_response(evhttp_request* request) {
   evhttp_remove_header(evhttp_request_get_input_headers(request), "Connection");
   evhttp_remove_header(evhttp_request_get_output_headers(request), "Connection");
   evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
@@ -46,9 +47,10 @@
 
 }  // namespace
 
-// One request and its answer. Shared by the server and the writer, either may go first.
+// One request and its response. Shared by the server and the writer; either may be destroyed first.
 struct Exchange {
-  evhttp_request* request = nullptr;  // null once the answer ended or the connection closed
+  evhttp_request* request =
+      nullptr;  // null once the response has ended or the connection is closed
   evhttp_connection* connection = nullptr;
   evbuffer* output = nullptr;
   std::function<void()> on_closed;
@@ -76,15 +78,15 @@
  private:
   class Writer;
 
-  void ask_to_close(Exchange& exchange) const;
-  static void write_at_once(Exchange& exchange, std::string_view chunk);
+  void add_close_header(Exchange& exchange) const;
+  static void write_unbuffered(Exchange& exchange, std::string_view chunk);
   void listen(EventDispatcher& dispatcher, const Address& local);
   void handle(evhttp_request* request);
   void watch_for_close(Exchange& exchange);
-  // Ends the exchange on our side. @return the request, for evhttp's last call.
+  // Ends the exchange in this class. @return the request, for the final call to evhttp.
   evhttp_request* release(Exchange& exchange);
   static void on_connection_closed(evhttp_connection* connection, void* argument);
-  static void on_answer_sent(evhttp_request* request, void* argument);
+  static void on_response_sent(evhttp_request* request, void* argument);
   static void on_closed_while_flushing(evhttp_connection* connection, void* argument);
   static bufferevent* create_connection(event_base* base, void* argument);
   std::string limits_text() const;
@@ -97,12 +99,13 @@
   evbuffer* scratch_;
   bool replacing_output_ = false;
   bool closing_ = false;
-  // Output buffers of connections whose current request is in a handler's hands.
-  std::unordered_set<const evbuffer*> answering_;
+  // Output buffers of connections whose current request is being handled.
+  std::unordered_set<const evbuffer*> handling_;
   std::unordered_map<evhttp_connection*, ExchangePtr> exchanges_;
-  // Connections whose ended answers still wait to be sent.
+  // Connections whose responses have ended but are not fully sent.
   std::unordered_set<const evhttp_connection*> flushing_;
-  std::shared_ptr<Implementation*> self_;  // null inside once destroyed; writers look here
+  std::shared_ptr<Implementation*>
+      self_;  // points to null after destruction; checked by the writers
 };
 
 class HttpServer::Implementation::Writer : public ResponseWriter {
@@ -212,7 +215,7 @@
   }
   const evutil_socket_t socket = evconnlistener_get_fd(listener);
   const int enabled = 1;
-  // Accepted sockets inherit it.
+  // Accepted sockets inherit the option.
   setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof(enabled));
   SocketAddress bound;
   bound.length = sizeof(bound.storage);
@@ -222,21 +225,22 @@
 }
 
 bufferevent* HttpServer::Implementation::create_connection(event_base* base, void* argument) {
-  // The bufferevent closes its descriptor itself, once its events are gone. Left to evhttp, the
-  // descriptor is closed while a callback of the connection may still run: the next socket gets the
-  // number while the old events are counted under it, and what arrives there is never seen.
+  // The bufferevent closes its descriptor itself, after its events are removed. evhttp would close
+  // the descriptor while a callback of the connection may still be running: a new socket then
+  // reuses the number while the old events are still registered under it, and its input is never
+  // reported.
   bufferevent* connection = bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE);
   evbuffer_add_cb(bufferevent_get_output(connection), &Implementation::on_output, argument);
   return connection;
 }
 
-// evhttp answers what it refuses itself (malformed or oversized requests) with a page of HTML and
-// offers no way to change it. It writes the page in one go, before any byte of it is sent, so what
-// it wrote so far is replaced after each of its writes by the typed error.
+// evhttp responds to requests that it rejects itself (malformed or oversized ones) with an HTML
+// page that cannot be customized. It writes the whole page before any byte of it is sent, so the
+// output is replaced by the typed error after each of these writes.
 void HttpServer::Implementation::on_output(evbuffer* buffer, const evbuffer_cb_info* change,
                                            void* argument) {
   auto* self = static_cast<Implementation*>(argument);
-  if (change->n_added == 0 || self->replacing_output_ || self->answering_.contains(buffer)) {
+  if (change->n_added == 0 || self->replacing_output_ || self->handling_.contains(buffer)) {
     return;
   }
   constexpr size_t kStatusOffset = sizeof("HTTP/1.1 ") - 1;
@@ -251,7 +255,7 @@
     return;  // 100 Continue
   }
   self->replacing_output_ = true;
-  const std::string text = protocol_error_text(status, self->limits_text());
+  const std::string text = protocol_error_response(status, self->limits_text());
   evbuffer_drain(buffer, evbuffer_get_length(buffer));
   evbuffer_add(buffer, text.data(), text.size());
   self->replacing_output_ = false;
@@ -268,7 +272,7 @@
   exchange->connection = evhttp_request_get_connection(request);
   exchange->output =
       bufferevent_get_output(evhttp_connection_get_bufferevent(exchange->connection));
-  answering_.insert(exchange->output);
+  handling_.insert(exchange->output);
   exchanges_.emplace(exchange->connection, exchange);
   watch_for_close(*exchange);
   HttpRequest message = read_request(request);
@@ -282,11 +286,11 @@
                 "send at most " + std::to_string(knobs_.max_header_bytes) + " bytes of headers")));
     return;
   }
-  if (!is_framed_for_all(message)) {
+  if (!has_unambiguous_framing(message)) {
     HttpResponse refusal = error_response(
-        not_run(ErrorKind::kInvalidRequest, "the end of the request cannot be told for sure",
-                "frame its body by one Content-Length or by 'Transfer-Encoding: chunked'"));
-    // What follows may be the rest of this request: it must not be read as another one.
+        not_run(ErrorKind::kInvalidRequest, "the end of the request is ambiguous",
+                "frame the body by a single Content-Length or by 'Transfer-Encoding: chunked'"));
+    // The following bytes may be the rest of this request and must not be parsed as another one.
     refusal.headers.push_back({"Connection", "close"});
     writer->respond(refusal);
     return;
@@ -294,9 +298,9 @@
   handler_.handle(std::move(message), std::move(writer));
 }
 
-// evhttp stops reading while a request is answered and so would not see that the caller went. Its
-// read callback must not run meanwhile, and neither must the read timeout: the caller rightly
-// sends nothing.
+// evhttp stops reading while a request is handled and so would not detect that the caller has
+// disconnected. Reading is therefore enabled, but without evhttp's read callback and without the
+// read timeout, because the caller is not expected to send anything.
 void HttpServer::Implementation::watch_for_close(Exchange& exchange) {
   bufferevent* connection = evhttp_connection_get_bufferevent(exchange.connection);
   bufferevent_data_cb read_callback = nullptr;
@@ -322,8 +326,8 @@
   }
   const ExchangePtr exchange = found->second;
   self->exchanges_.erase(found);
-  self->answering_.erase(exchange->output);
-  // evhttp has unlinked the unanswered request from its connection and leaves it to us.
+  self->handling_.erase(exchange->output);
+  // evhttp has detached the unfinished request from its connection; it has to be freed here.
   evhttp_request_free(exchange->request);
   exchange->request = nullptr;
   if (exchange->on_closed) {
@@ -332,7 +336,7 @@
   }
 }
 
-void HttpServer::Implementation::on_answer_sent(evhttp_request* request, void* argument) {
+void HttpServer::Implementation::on_response_sent(evhttp_request* request, void* argument) {
   evhttp_connection* connection = evhttp_request_get_connection(request);
   static_cast<Implementation*>(argument)->flushing_.erase(connection);
   evhttp_connection_set_closecb(connection, nullptr, nullptr);
@@ -349,7 +353,7 @@
   exchange.on_closed = nullptr;
   evhttp_connection_set_closecb(exchange.connection, &Implementation::on_closed_while_flushing,
                                 this);
-  evhttp_request_set_on_complete_cb(request, &Implementation::on_answer_sent, this);
+  evhttp_request_set_on_complete_cb(request, &Implementation::on_response_sent, this);
   flushing_.insert(exchange.connection);
   bufferevent* connection = evhttp_connection_get_bufferevent(exchange.connection);
   const timeval timeout = timeval_of(knobs_.idle_timeout);
@@ -359,7 +363,7 @@
   return request;
 }
 
-void HttpServer::Implementation::ask_to_close(Exchange& exchange) const {
+void HttpServer::Implementation::add_close_header(Exchange& exchange) const {
   if (closing_) {
     evkeyvalq* headers = evhttp_request_get_output_headers(exchange.request);
     evhttp_remove_header(headers, "Connection");
@@ -369,9 +373,9 @@
 
 void HttpServer::Implementation::start(Exchange& exchange, int status, const HttpHeaders& headers) {
   add_headers(exchange.request, headers);
-  ask_to_close(exchange);
+  add_close_header(exchange);
   if (exchange.request->major == 1 && exchange.request->minor == 0) {
-    end_with_connection(exchange.request);
+    close_after_response(exchange.request);
   }
   evhttp_send_reply_start(exchange.request, status, nullptr);
 }
@@ -381,7 +385,7 @@
     return;
   }
   if (exchange.request->chunked != 0 && evbuffer_get_length(exchange.output) == 0) {
-    write_at_once(exchange, chunk);
+    write_unbuffered(exchange, chunk);
     return;
   }
   evbuffer_add(scratch_, chunk.data(), chunk.size());
@@ -389,9 +393,10 @@
   evbuffer_drain(scratch_, evbuffer_get_length(scratch_));
 }
 
-// Streams send a few bytes at a time. Handing them to the kernel here saves a turn of the loop and
-// four system calls a chunk against the buffered way; what the kernel does not take is buffered.
-void HttpServer::Implementation::write_at_once(Exchange& exchange, std::string_view chunk) {
+// Streams send a few bytes at a time. Sending them directly saves a turn of the event loop and four
+// system calls per chunk compared to buffered output. Bytes that the kernel does not accept are
+// buffered.
+void HttpServer::Implementation::write_unbuffered(Exchange& exchange, std::string_view chunk) {
   std::array<char, 2 * sizeof(size_t) + 3> size_line{};
   const int size_length =
       std::snprintf(size_line.data(), size_line.size(), "%zx\r\n", chunk.size());
@@ -409,33 +414,33 @@
 void HttpServer::Implementation::finish(Exchange& exchange) {
   const evbuffer* output = exchange.output;
   evhttp_send_reply_end(release(exchange));
-  answering_.erase(output);
+  handling_.erase(output);
 }
 
 void HttpServer::Implementation::respond(Exchange& exchange, const HttpResponse& response) {
   add_headers(exchange.request, response.headers);
-  ask_to_close(exchange);
+  add_close_header(exchange);
   const evbuffer* output = exchange.output;
-  // The caller takes whatever follows the head of an answer to HEAD for its next answer.
+  // A body in the response to HEAD would be parsed as the start of the next response.
   if (evhttp_request_get_command(exchange.request) != EVHTTP_REQ_HEAD) {
     evbuffer_add(scratch_, response.body.data(), response.body.size());
   }
   evhttp_send_reply(release(exchange), response.status, nullptr, scratch_);
   evbuffer_drain(scratch_, evbuffer_get_length(scratch_));
-  answering_.erase(output);
+  handling_.erase(output);
 }
 
 void HttpServer::Implementation::abort(Exchange& exchange) {
   const evbuffer* output = exchange.output;
   evhttp_connection* connection = exchange.connection;
   static_cast<void>(release(exchange));
-  // Resets the connection (evhttp alone would end it in order), so that even a caller that reads
-  // until the end of the connection sees the break.
+  // Resets the connection (evhttp would close it gracefully), so that even a caller that reads
+  // until the end of the connection detects the abort.
   const sockaddr unspecified{.sa_family = AF_UNSPEC, .sa_data = {}};
   static_cast<void>(connect(bufferevent_getfd(evhttp_connection_get_bufferevent(connection)),
                             &unspecified, sizeof(unspecified)));
   evhttp_connection_free(connection);
-  answering_.erase(output);
+  handling_.erase(output);
 }
 
 HttpServer::HttpServer(EventDispatcher& dispatcher, const Address& local, HttpHandler& handler,
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 server over libevent's evhttp. Hands whole requests to a handler and lets it answer now
-// or later, whole or streamed.
+// HTTP/1.1 server over libevent's evhttp. Passes complete requests to a handler, which responds
+// immediately or later, at once or as a stream.
 #pragma once
 
 #include <memory>
@@ -14,26 +14,26 @@
 struct HttpServerKnobs {
   size_t max_header_bytes = 32 * 1024;
   size_t max_body_bytes = 64 * 1024 * 1024;
-  // A connection that is idle or whose request has begun but not arrived is closed after this long
-  // without a byte; so is one whose caller takes nothing of its answer.
+  // A connection that is idle, or whose request is incomplete, is closed after this time without
+  // input; so is one whose caller does not read any of its response.
   Duration idle_timeout = std::chrono::seconds(30);
 };
 
 class HttpServer {
  public:
-  // Listens at once. Throws std::runtime_error when the address cannot be bound. Port 0 lets the
-  // system choose. `handler` must outlive the server.
+  // Starts listening. Throws std::runtime_error if the address cannot be bound. With port 0 the
+  // system chooses a port. `handler` must outlive the server.
   HttpServer(EventDispatcher& dispatcher, const Address& local, HttpHandler& handler,
              const HttpServerKnobs& knobs = {});
-  // Closes all connections; writers that are still held become inert.
+  // Closes all connections; writers that still exist have no effect any more.
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
   const Address& local() const;
-  // From now on every answer asks its caller to close the connection: the server is about to stop.
+  // From now on every response has 'Connection: close', because the server is about to stop.
   void close_after_answers();
-  // Requests handed to the handler whose answers have not ended or not been sent whole.
+  // Number of requests passed to the handler whose responses have not ended or are not fully sent.
   size_t requests_in_progress() const;
 
  private:
--- a/src/http/response_parser.cc
+++ b/src/http/response_parser.cc
@@ -25,7 +25,7 @@
   return lower;
 }
 
-// Whether the comma-separated `list` holds `token`, ignoring case.
+// Whether the comma-separated `list` contains `token`, ignoring case.
 bool has_token(std::string_view list, std::string_view token) {
   const std::string lower = lower_case(list);
   std::string_view rest = lower;
@@ -39,8 +39,8 @@
   return false;
 }
 
-// Whether every header of that name has the same value. Readers that pick different ones of several
-// values disagree about where the answer ends.
+// Whether all headers of that name have the same value. Implementations that choose different ones
+// of several values disagree about the end of the response.
 bool is_unambiguous(const HttpHeaders& headers, std::string_view name) {
   const auto first = find_header(headers, name);
   return std::all_of(headers.begin(), headers.end(), [&](const HttpHeader& header) {
@@ -51,14 +51,14 @@
 // The timeout of a Keep-Alive header such as "timeout=5, max=100".
 std::optional<uint32_t> parse_keep_alive(std::string_view text) {
   constexpr std::string_view kName = "timeout=";
-  constexpr uint64_t kMostSeconds = 24 * 3600;
+  constexpr uint64_t kMaxSeconds = 24 * 3600;
   const size_t begin = lower_case(text).find(kName);
   if (begin == std::string::npos) {
     return std::nullopt;
   }
   const std::string_view rest = text.substr(begin + kName.size());
   const auto seconds = parse_number<uint64_t>(trim(rest.substr(0, rest.find(','))));
-  return seconds ? std::optional(static_cast<uint32_t>(std::min(*seconds, kMostSeconds)))
+  return seconds ? std::optional(static_cast<uint32_t>(std::min(*seconds, kMaxSeconds)))
                  : std::nullopt;
 }
 
@@ -103,10 +103,10 @@
   constexpr int kNoContent = 204;
   constexpr int kNotModified = 304;
   if (head_.status == kSwitchingProtocols) {
-    return Progress::kMalformed;  // never asked for
+    return Progress::kMalformed;  // never requested
   }
   if (head_.status < 200) {
-    *this = ResponseHeadParser(head_only_);  // interim answer; the real one follows
+    *this = ResponseHeadParser(head_only_);  // interim response; the final one follows
     return Progress::kMore;
   }
   const std::string_view connection = find_header(head_.headers, "Connection").value_or("");
@@ -123,7 +123,7 @@
   }
   if (const auto encoding = find_header(head_.headers, "Transfer-Encoding")) {
     head_.framing = BodyFraming::kChunked;
-    // Whoever sends both may be two speakers that disagree about where the answer ends.
+    // A response with both headers may come from two implementations that disagree about its end.
     head_.keep_alive = head_.keep_alive && !find_header(head_.headers, "Content-Length");
     return lower_case(*encoding) == "chunked" ? Progress::kComplete : Progress::kMalformed;
   }
--- a/src/http/response_parser.h
+++ b/src/http/response_parser.h
@@ -1,4 +1,4 @@
-// Incremental parser of HTTP/1.1 responses. Free of sockets.
+// Incremental parser of HTTP/1.1 responses, independent of sockets.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace chalkshed {
 
-// How the end of a body is told.
+// How the end of a body is determined.
 enum class BodyFraming { kNone, kLength, kChunked, kUntilClose };
 
 struct ResponseHead {
@@ -18,19 +18,19 @@
   HttpHeaders headers;
   BodyFraming framing = BodyFraming::kNone;
   uint64_t content_length = 0;  // with kLength
-  bool keep_alive = false;      // the connection may serve another request
-  // How long the server keeps the connection when it is idle, where it says so.
+  bool keep_alive = false;      // the connection may be used for another request
+  // The server's idle timeout for the connection, if announced.
   std::optional<uint32_t> keep_alive_seconds;
 };
 
-// Parses one line of a response head, then the next. An empty line ends the head.
+// Parses a response head line by line. An empty line ends the head.
 class ResponseHeadParser {
  public:
   enum class Progress { kMore, kComplete, kMalformed };
 
-  // @param head_only the answer has no body whatever its headers say (HEAD).
+  // @param head_only the response has no body, regardless of its headers (HEAD).
   explicit ResponseHeadParser(bool head_only) : head_only_(head_only) {}
-  // @param line without its line end.
+  // @param line without its line terminator.
   Progress add_line(std::string_view line);
   ResponseHead& head() { return head_; }
 
@@ -45,7 +45,7 @@
   ResponseHead head_;
 };
 
-// @return the size in a chunk's first line, or nothing when it is malformed.
+// @return the size in the first line of a chunk, or nothing if it is malformed.
 std::optional<uint64_t> parse_chunk_size(std::string_view line);
 
 }  // namespace chalkshed
--- a/src/http/socket_write.h
+++ b/src/http/socket_write.h
@@ -1,4 +1,4 @@
-// Writing to a socket without its event loop's buffers.
+// Unbuffered writes to a socket, bypassing the event loop.
 #pragma once
 
 #include <cstddef>
@@ -7,8 +7,9 @@
 
 namespace chalkshed {
 
-// Sends the parts in order, as one piece, without waiting. At most kMaxSendParts.
-// @return bytes that the kernel took; 0 upon any error, which the event loop then meets itself.
+// Sends at most kMaxSendParts parts in order, in one system call, without blocking.
+// @return the number of bytes that the kernel accepted; 0 on any error, which the event loop will
+// detect itself.
 size_t send_parts(int socket, std::span<const std::string_view> parts);
 inline constexpr size_t kMaxSendParts = 4;
 
--- a/tests/http/connection_lifetime_test.cc
+++ b/tests/http/connection_lifetime_test.cc
@@ -24,7 +24,7 @@
 namespace chalkshed {
 namespace {
 
-// Keeps what libevent complains about, such as changes of a descriptor that is closed already.
+// Records libevent's warnings, for example about changes to a closed descriptor.
 class EventWarnings {
  public:
   EventWarnings() {
@@ -44,7 +44,7 @@
   }
 };
 
-// Two connected sockets; the loop reads from one of them.
+// Two connected sockets, one of which is read by the event loop.
 class WatchedPair {
  public:
   explicit WatchedPair(EventDispatcher& dispatcher) {
@@ -64,8 +64,8 @@
               static_cast<ssize_t>(bytes.size()));
   }
   size_t arrived() const { return evbuffer_get_length(bufferevent_get_input(watched_)); }
-  // Whether anybody wrote to the watched end's peer.
-  bool peer_got_bytes() const {
+  // Whether anything was written to the peer of the watched socket.
+  bool peer_received_bytes() const {
     char byte = 0;
     return recv(ends_[1], &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT) > 0;
   }
@@ -104,14 +104,14 @@
  protected:
   using Handle = std::function<void(HttpRequest, ResponseWriterPtr)>;
 
-  // Sends one request, which `handle` answers, and waits for the end of the call.
+  // Sends one request, which `handle` responds to, and waits for the end of the call.
   void call(Handle handle) {
     handler_ = std::make_unique<FunctionHandler>(std::move(handle));
     server_ = std::make_unique<HttpServer>(dispatcher_, Address{"127.0.0.1", 0}, *handler_);
     call_ = client_.send(server_->local(), get("/"), {}, recorded_);
     ASSERT_TRUE(run_until(dispatcher_, [&] { return recorded_.done(); }));
   }
-  // Some turns of the loop, so that whatever is due has its chance.
+  // Runs a few turns of the event loop, so that pending events are handled.
   void settle() {
     constexpr int kTurns = 20;
     for (int turn = 0; turn < kTurns; ++turn) {
@@ -128,10 +128,10 @@
   HttpCallPtr call_;
 };
 
-// A worker of the soak that broke off a stream at once made libevent print "Epoll MOD(4) on fd N
-// failed: Bad file descriptor". Order: the read event of the connection hands the request over;
-// the handler starts the answer, which waits for the write event, and aborts it; evhttp closes the
-// descriptor, while both events live on until the read event has returned.
+// Guards against a use of a closed descriptor, seen in a soak test as libevent's warning "Epoll
+// MOD(4) on fd N failed: Bad file descriptor". Sequence: the read event of a connection calls the
+// handler, which starts a response, pending on the write event, and aborts it; evhttp closes the
+// descriptor, but both events exist until the read event has returned.
 TEST_F(ConnectionLifetimeTest, AbortInsideTheHandlerLeavesNoEventOnAClosedDescriptor) {
   call([](const HttpRequest& /*request*/, const ResponseWriterPtr& writer) {
     writer->start(200, {});
@@ -143,11 +143,11 @@
   EXPECT_EQ(EventWarnings::warnings(), std::vector<std::string>());
 }
 
-// The same order, and the handler opens a socket behind the abort, as a node does that sends the
-// next waiting request on. The socket got the number of the closed descriptor while the events of
-// the old connection were still counted under it: its own read event was never given to the
-// kernel, so nothing that arrived there was ever seen.
-TEST_F(ConnectionLifetimeTest, SocketOpenedBehindAnAbortHearsItsPeer) {
+// The same sequence, but the handler opens a socket after the abort, as a node does that forwards
+// the next waiting request. The socket got the number of the closed descriptor while the events of
+// the old connection were still registered under it. Its own read event was never registered with
+// the kernel, so its input was never reported.
+TEST_F(ConnectionLifetimeTest, SocketOpenedAfterAnAbortReceivesInput) {
   std::unique_ptr<WatchedPair> pair;
   call([&](const HttpRequest& /*request*/, const ResponseWriterPtr& writer) {
     writer->abort();
@@ -158,8 +158,8 @@
   EXPECT_EQ(pair->arrived(), 5U);
 }
 
-// A call that a handler begins behind an abort, on a new connection, is answered.
-TEST_F(ConnectionLifetimeTest, CallBegunBehindAnAbortIsAnswered) {
+// A call that a handler starts after an abort, on a new connection, gets its response.
+TEST_F(ConnectionLifetimeTest, CallStartedAfterAnAbortGetsItsResponse) {
   RawServer worker(dispatcher_, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", false);
   RecordedCall onward;
   HttpCallPtr onward_call;
@@ -173,9 +173,9 @@
   EXPECT_EQ(onward.body, "hello");
 }
 
-// However a connection ends, its descriptor is closed, and once only: a second close would hit the
-// socket that got the number since.
-TEST_F(ConnectionLifetimeTest, EveryEndOfAConnectionGivesItsDescriptorBack) {
+// However a connection ends, its descriptor is closed exactly once: a second close would hit the
+// socket that has reused the number.
+TEST_F(ConnectionLifetimeTest, EveryEndOfAConnectionClosesItsDescriptorOnce) {
   const auto answer = [](const HttpRequest& request, const ResponseWriterPtr& writer) {
     if (request.path == "/abort") {
       writer->abort();
@@ -198,8 +198,8 @@
   EXPECT_EQ(EventWarnings::warnings(), std::vector<std::string>());
 }
 
-// Whatever the old connection still had to send goes to nobody.
-TEST_F(ConnectionLifetimeTest, SocketOpenedBehindAnAbortGetsNoBytesOfTheOldAnswer) {
+// Pending output of the old connection must not reach another socket.
+TEST_F(ConnectionLifetimeTest, SocketOpenedAfterAnAbortGetsNoBytesOfTheOldResponse) {
   std::unique_ptr<WatchedPair> pair;
   call([&](const HttpRequest& /*request*/, const ResponseWriterPtr& writer) {
     writer->start(200, {});
@@ -210,14 +210,14 @@
     writer->finish();
   });
   settle();
-  EXPECT_FALSE(pair->peer_got_bytes());
+  EXPECT_FALSE(pair->peer_received_bytes());
   pair->send_to_watched("hello");
   settle();
   EXPECT_EQ(pair->arrived(), 5U);
 }
 
-// The server takes a request that came behind another one from a deferred call of evhttp, not from
-// a read event. Bodies of both kinds end in other places of evhttp than a head alone.
+// A pipelined request reaches the server through a deferred callback of evhttp, not a read event.
+// The ends of bodies of both framings are handled in different code of evhttp than a head alone.
 TEST_F(ConnectionLifetimeTest, AbortInsideTheHandlerOfEachKindOfRequest) {
   const std::string first = "GET /first HTTP/1.1\r\nHost: a\r\n\r\n";
   const std::vector<std::string> aborted = {
@@ -240,7 +240,7 @@
     for (const std::string& request : aborted) {
       const size_t aborts_before = aborts;
       const SocketPtr caller = open_socket(server.local());
-      // One write: behind the first request, the second one is there already.
+      // Sent in one write, so that the second request has arrived with the first.
       std::string bytes = before;
       write_to(*caller, bytes.append(request).append(first));
       ASSERT_TRUE(run_until(dispatcher_, [&] { return aborts > aborts_before; }));
@@ -251,7 +251,7 @@
   EXPECT_EQ(EventWarnings::warnings(), std::vector<std::string>());
 }
 
-// Ends its own call at one of its events, having asked for more just before.
+// Destroys its own call in one of its events, after resuming it.
 struct EndingCall : HttpCallCallbacks {
   enum class At { kHeaders, kBody, kEnd, kError };
 
@@ -260,7 +260,7 @@
   void on_end() override { end_at(At::kEnd); }
   void on_error(const Error& /*error*/) override { end_at(At::kError); }
   void end_at(At event) {
-    EXPECT_FALSE(ended) << "an event came after the end of the call";
+    EXPECT_FALSE(ended) << "event after the end of the call";
     if (event == at) {
       ended = true;
       call->pause_reading();
@@ -289,9 +289,9 @@
   EXPECT_EQ(EventWarnings::warnings(), std::vector<std::string>());
 }
 
-// A paused answer that is resumed is read by a deferred event; its call may be gone by then, and so
-// may the client.
-TEST_F(ConnectionLifetimeTest, DeferredReadFindsItsCallGone) {
+// A resumed response is read by a deferred event; by then its call or the whole client may have
+// been destroyed.
+TEST_F(ConnectionLifetimeTest, DeferredReadAfterItsCallIsDestroyed) {
   const RawServer server(dispatcher_, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", false);
   for (const bool client_goes : {false, true}) {
     auto client = std::make_unique<EventHttpClient>(dispatcher_);
--- a/tests/http/framing_test.cc
+++ b/tests/http/framing_test.cc
@@ -1,5 +1,5 @@
-// Framings of requests by method, length and coding: a body is never read as a request, and a
-// proper request is handed on.
+// Request framing by method, length and transfer coding: a body is never parsed as a request, and a
+// valid request reaches the handler.
 #include "src/http/http_server.h"
 
 #include <gtest/gtest.h>
@@ -12,11 +12,12 @@
 class HiddenRequestTest : public HttpServerFixture,
                           public testing::WithParamInterface<const char*> {};
 
-// The body of a request is never read as the next request, whatever its method: behind it comes the
-// request that was sent behind it, or the connection has been refused.
-TEST_P(HiddenRequestTest, WhatIsABodyIsNotReadAsARequest) {
+// The body of a request is never parsed as the next request, whatever the method: the next request
+// is the one sent after the body, or the connection is closed.
+TEST_P(HiddenRequestTest, BodyIsNotParsedAsARequest) {
   HttpServerKnobs knobs;
-  knobs.idle_timeout = std::chrono::milliseconds(200);  // CONNECT gets no answer, and is closed
+  knobs.idle_timeout =
+      std::chrono::milliseconds(200);  // CONNECT gets no response; its connection is closed
   serve(knobs);
   const std::string hidden = "GET /hidden HTTP/1.1\r\nHost: x\r\n\r\n";
   RawCaller caller(dispatcher_, server_->local());
@@ -29,7 +30,7 @@
     return;
   }
   if (seen_.path == "/next") {
-    // The first was refused by the server itself, and its body read over.
+    // The server itself rejected the first request and skipped its body.
     ASSERT_TRUE(run([&] { return !caller.received().empty(); }));
     EXPECT_TRUE(caller.received().starts_with("HTTP/1.1 5")) << caller.received();
     return;
@@ -44,9 +45,9 @@
                          testing::Values("GET", "DELETE", "OPTIONS", "PATCH", "PUT", "TRACE",
                                          "CONNECT", "PROPFIND"));
 
-class ProperRequestTest : public HttpServerFixture,
-                          public testing::WithParamInterface<const char*> {};
-TEST_P(ProperRequestTest, AProperRequestIsHandedOn) {
+class ValidRequestTest : public HttpServerFixture,
+                         public testing::WithParamInterface<const char*> {};
+TEST_P(ValidRequestTest, ReachesTheHandler) {
   serve();
   RawCaller caller(dispatcher_, server_->local());
   caller.send(GetParam());
@@ -54,7 +55,7 @@
   EXPECT_EQ(handled_, 1U) << caller.received();
 }
 INSTANTIATE_TEST_SUITE_P(
-    Framings, ProperRequestTest,
+    Framings, ValidRequestTest,
     testing::Values(
         "HEAD /a HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n",
         "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: Chunked\r\n\r\n0\r\n\r\n",
--- a/tests/http/http_client_test.cc
+++ b/tests/http/http_client_test.cc
@@ -1,4 +1,4 @@
-// The HTTP client against servers that answer well, badly or not at all.
+// The HTTP client against servers that send valid, invalid or no responses.
 #include "src/http/event_http_client.h"
 
 #include <gtest/gtest.h>
@@ -14,9 +14,9 @@
 
 class HttpClientTest : public testing::Test {
  protected:
-  // Sends to a server that answers with exactly these bytes and then closes.
-  RecordedCall& call_raw(const std::string& answer) {
-    server_ = std::make_unique<RawServer>(dispatcher_, answer, true);
+  // Sends a request to a server that responds with exactly these bytes and then closes.
+  RecordedCall& call_raw(const std::string& response) {
+    server_ = std::make_unique<RawServer>(dispatcher_, response, true);
     call_ = client_.send(server_->local(), get("/"), {}, recorded_);
     EXPECT_TRUE(run_until(dispatcher_, [&] { return recorded_.done(); }));
     return recorded_;
@@ -76,7 +76,7 @@
   bool paused = false;
 };
 
-TEST_F(HttpClientTest, PausedAnswerGoesOnWhereItStopped) {
+TEST_F(HttpClientTest, PausedResponseContinuesWhereItStopped) {
   RawServer server(dispatcher_, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", true);
   PausingCall recorded;
   recorded.call = client_.send(server.local(), get("/"), {}, recorded);
@@ -94,8 +94,8 @@
   EXPECT_EQ(recorded.body, "hello");
 }
 
-TEST_F(HttpClientTest, MalformedAnswersAreErrors) {
-  for (const char* answer :
+TEST_F(HttpClientTest, MalformedResponsesAreErrors) {
+  for (const char* response :
        {"SMTP ready\r\n", "HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
@@ -109,14 +109,14 @@
         "HTTP/1.1 200 OK\r\nContent-Length : 5\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\nA: b\r\n Content-Length: 5\r\n\r\nhello"}) {
     recorded_ = RecordedCall();
-    call_raw(answer);
-    EXPECT_TRUE(recorded_.error) << answer;
-    EXPECT_FALSE(recorded_.ended) << answer;
+    call_raw(response);
+    EXPECT_TRUE(recorded_.error) << response;
+    EXPECT_FALSE(recorded_.ended) << response;
   }
 }
 
 TEST_F(HttpClientTest, EndlessTrailerIsAnError) {
-  const std::string begun = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n";
+  const std::string partial = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n";
   const size_t limit = EventHttpClientKnobs().max_header_bytes;
   std::string lines;
   while (lines.size() <= 2 * limit) {
@@ -124,14 +124,14 @@
   }
   for (const std::string& trailer : {lines, std::string(2 * limit, 'x')}) {
     recorded_ = RecordedCall();
-    server_ = std::make_unique<RawServer>(dispatcher_, begun + trailer, false);
+    server_ = std::make_unique<RawServer>(dispatcher_, partial + trailer, false);
     call_ = client_.send(server_->local(), get("/"), {}, recorded_);
     ASSERT_TRUE(run_until(dispatcher_, [&] { return recorded_.done(); }));
     EXPECT_TRUE(recorded_.error);
   }
 }
 
-TEST_F(HttpClientTest, AnswerWithTwoFramingsMakesTheConnectionUnusable) {
+TEST_F(HttpClientTest, ResponseWithTwoFramingsMakesTheConnectionUnusable) {
   server_ = std::make_unique<RawServer>(
       dispatcher_,
       "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", false);
@@ -162,14 +162,16 @@
   EXPECT_EQ(client_.open_connections(), 0U);
 }
 
-// A process that got no time to run found its connection made seconds after the time it was
-// allowed, and sent what nobody wanted any more: the request was decided on before the pause.
-TEST_F(HttpClientTest, ConnectionThatIsNoticedTooLateCarriesNothing) {
+// Guards against sending a stale request: a process that was not scheduled for a while found its
+// connection established seconds after the connect timeout, and sent a request that had been
+// decided on before the pause.
+TEST_F(HttpClientTest, ConnectionEstablishedAfterTheTimeoutIsNotUsed) {
   server_ = std::make_unique<RawServer>(dispatcher_, "HTTP/1.1 204 No\r\n\r\n", false);
   HttpCallOptions options;
   options.connect_timeout = std::chrono::milliseconds(5);
   call_ = client_.send(server_->local(), get("/"), options, recorded_);
-  std::this_thread::sleep_for(2 * options.connect_timeout);  // the loop does not run meanwhile
+  std::this_thread::sleep_for(
+      2 * options.connect_timeout);  // the event loop does not run during this time
   ASSERT_TRUE(run_until(dispatcher_, [&] { return recorded_.done(); }));
   ASSERT_TRUE(recorded_.error);
   EXPECT_EQ(recorded_.error->ran, Ran::kNo);
@@ -238,15 +240,15 @@
   EXPECT_EQ(server_->accepted(), 2U);
 }
 
-// The kernel may hold what the event loop has not seen yet.
-TEST_F(HttpClientPoolTest, ConnectionThatWasClosedOrWrittenToUnaskedIsNotReused) {
+// The kernel may have input that the event loop has not processed yet.
+TEST_F(HttpClientPoolTest, ConnectionThatWasClosedOrHasUnsolicitedDataIsNotReused) {
   for (const bool close : {false, true}) {
     fetch({});
     const size_t accepted = server_->accepted();
     if (close) {
       server_->close_connections();
     } else {
-      server_->send_unasked("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray");
+      server_->send_unsolicited("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray");
     }
     call_ = client_.send(server_->local(), get("/"), {}, recorded_);
     ASSERT_TRUE(run_until(dispatcher_, [&] { return recorded_.done(); }));
@@ -258,8 +260,8 @@
 }
 
 TEST_F(HttpClientTest, AbandonedConnectionIsNotReused) {
-  const std::string begun = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello";
-  server_ = std::make_unique<RawServer>(dispatcher_, begun, false);
+  const std::string partial = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello";
+  server_ = std::make_unique<RawServer>(dispatcher_, partial, false);
   recorded_.on_data = [&] { call_.reset(); };
   call_ = client_.send(server_->local(), get("/"), {}, recorded_);
   ASSERT_TRUE(run_until(dispatcher_, [&] { return recorded_.body == "hello"; }));
@@ -284,10 +286,10 @@
   EXPECT_EQ(server_->accepted(), 1U);
 }
 
-// Nodes and the soak that ended while calls were under way left them behind, as the leak checker
-// told: close_all() drops the connections without a word, and the collector of an answer owned
-// itself until the end of its call, which never came. What its callback holds goes with the client.
-TEST(HttpClientFetchTest, EndsWithItsClient) {
+// Guards against a leak of calls in progress at exit, reported by the leak checker: close_all()
+// closes the connections without notification, and the collector of a response owned itself until
+// the end of its call, which never came. The callback's state has to be destroyed with the client.
+TEST(HttpClientFetchTest, IsDestroyedWithItsClient) {
   EventDispatcher dispatcher;
   RawServer silent(dispatcher, "", false);
   auto held = std::make_shared<int>();
@@ -304,9 +306,9 @@
   EXPECT_FALSE(called);
 }
 
-// The kernel refuses at once to begin some connections (no route, no free port). The caller hears
-// of it later all the same: inside send() it holds no call yet that it could end.
-TEST_F(HttpClientTest, ConnectionThatCannotBeginFailsAfterSendHasReturned) {
+// The kernel rejects some connections immediately (no route, no free port). The error is reported
+// later nevertheless: inside send() the caller has no call yet that it could end.
+TEST_F(HttpClientTest, ConnectionThatCannotStartFailsAfterSendHasReturned) {
   const Address unreachable{"255.255.255.255", 9};
   call_ = client_.send(unreachable, get("/"), {}, recorded_);
   EXPECT_FALSE(recorded_.done());
@@ -317,7 +319,7 @@
   EXPECT_EQ(client_.open_connections(), 0U);
 }
 
-TEST_F(HttpClientTest, BytesBehindAnAnswerMakeTheConnectionUnusable) {
+TEST_F(HttpClientTest, BytesAfterAResponseMakeTheConnectionUnusable) {
   server_ = std::make_unique<RawServer>(
       dispatcher_, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", false);
   call_ = client_.send(server_->local(), get("/"), {}, recorded_);
--- a/tests/http/http_router_test.cc
+++ b/tests/http/http_router_test.cc
@@ -7,7 +7,7 @@
 namespace chalkshed {
 namespace {
 
-// Keeps the status of the answer.
+// Records the status of the response.
 class StatusWriter : public ResponseWriter {
  public:
   explicit StatusWriter(int& status) : status_(status) {}
@@ -23,37 +23,37 @@
   int& status_;
 };
 
-int answer_of(HttpHandler& handler, const std::string& path) {
+int status_of(HttpHandler& handler, const std::string& path) {
   int received = 0;
   handler.handle(get(path), std::make_unique<StatusWriter>(received));
   return received;
 }
 
-FunctionHandler answering(int status) {
+FunctionHandler responding_with(int status) {
   return FunctionHandler([status](const HttpRequest&, const ResponseWriterPtr& writer) {
     writer->respond({status, {}, ""});
   });
 }
 
 TEST(HttpRouterTest, LongestWholePrefixWins) {
-  FunctionHandler general = answering(201);
-  FunctionHandler special = answering(202);
+  FunctionHandler general = responding_with(201);
+  FunctionHandler special = responding_with(202);
   HttpRouter router;
   router.add("/v1", general);
   router.add("/v1/batches", special);
-  EXPECT_EQ(answer_of(router, "/v1/batches"), 202);
-  EXPECT_EQ(answer_of(router, "/v1/batches/b/output"), 202);
-  EXPECT_EQ(answer_of(router, "/v1/batchesque"), 201);
-  EXPECT_EQ(answer_of(router, "/v1/"), 201);
-  EXPECT_EQ(answer_of(router, "/v2"), 404);
-  EXPECT_EQ(answer_of(router, "/"), 404);
+  EXPECT_EQ(status_of(router, "/v1/batches"), 202);
+  EXPECT_EQ(status_of(router, "/v1/batches/b/output"), 202);
+  EXPECT_EQ(status_of(router, "/v1/batchesque"), 201);
+  EXPECT_EQ(status_of(router, "/v1/"), 201);
+  EXPECT_EQ(status_of(router, "/v2"), 404);
+  EXPECT_EQ(status_of(router, "/"), 404);
 }
 
-TEST(HttpRouterTest, EmptyPrefixTakesTheRest) {
-  FunctionHandler rest = answering(201);
+TEST(HttpRouterTest, EmptyPrefixMatchesAllOtherPaths) {
+  FunctionHandler rest = responding_with(201);
   HttpRouter router;
   router.add("", rest);
-  EXPECT_EQ(answer_of(router, "/anything"), 201);
+  EXPECT_EQ(status_of(router, "/anything"), 201);
 }
 
 }  // namespace
--- a/tests/http/http_server_fixture.h
+++ b/tests/http/http_server_fixture.h
@@ -1,5 +1,4 @@
-// The HTTP server between a handler of the test's own and callers that send well-formed requests or
-// raw bytes.
+// The HTTP server with a test handler, and callers that send well-formed requests or raw bytes.
 #pragma once
 
 #include <event2/buffer.h>
@@ -14,7 +13,7 @@
 
 namespace chalkshed {
 
-// A connection that sends raw bytes and keeps what comes back.
+// A connection that sends raw bytes and records the bytes received.
 class RawCaller {
  public:
   RawCaller(EventDispatcher& dispatcher, const Address& server)
@@ -47,7 +46,7 @@
   bool closed_ = false;
 };
 
-// A server whose handler keeps the last request and its writer.
+// A server whose handler stores the last request and its writer.
 class HttpServerFixture : public testing::Test {
  protected:
   void serve(const HttpServerKnobs& knobs = {}) {
--- a/tests/http/http_server_test.cc
+++ b/tests/http/http_server_test.cc
@@ -1,4 +1,4 @@
-// The HTTP server against callers that behave well, badly or leave.
+// The HTTP server against callers that behave well, misbehave or disconnect.
 #include "src/http/http_server.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 class HttpServerTest : public HttpServerFixture {};
 
-TEST_F(HttpServerTest, HandsTheWholeRequestOver) {
+TEST_F(HttpServerTest, PassesTheCompleteRequestToTheHandler) {
   serve();
   HttpRequest request = get("/a/b");
   request.method = "POST";
@@ -46,7 +46,7 @@
   EXPECT_EQ(server_->requests_in_progress(), 0U);
 }
 
-TEST_F(HttpServerTest, AbortedOrDroppedAnswerIsSeenAsBroken) {
+TEST_F(HttpServerTest, AbortedOrDroppedResponseIsAnErrorAtTheCaller) {
   serve();
   for (const bool drop : {false, true}) {
     recorded_ = RecordedCall();
@@ -78,8 +78,9 @@
   EXPECT_FALSE(caller.closed());
 }
 
-// HTTP/1.0 has no chunks, so only the end of the connection can tell the end of a streamed answer.
-TEST_F(HttpServerTest, StreamsToCallersOfTheOldProtocolUntilClose) {
+// HTTP/1.0 has no chunked coding, so only closing the connection can mark the end of a streamed
+// response.
+TEST_F(HttpServerTest, StreamsToHttp10CallersUntilClose) {
   serve();
   RawCaller caller(dispatcher_, server_->local());
   caller.send("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
@@ -94,15 +95,15 @@
   EXPECT_TRUE(caller.received().ends_with("\r\n\r\none two")) << caller.received();
 }
 
-TEST_F(HttpServerTest, LearnsThatTheCallerLeft) {
+TEST_F(HttpServerTest, DetectsThatTheCallerDisconnected) {
   serve();
   call(get("/"));
   ASSERT_TRUE(run([&] { return handled_ == 1; }));
-  bool left = false;
-  writer_->set_on_closed([&] { left = true; });
+  bool disconnected = false;
+  writer_->set_on_closed([&] { disconnected = true; });
   call_.reset();
-  ASSERT_TRUE(run([&] { return left; }));
-  writer_->write("nobody hears");
+  ASSERT_TRUE(run([&] { return disconnected; }));
+  writer_->write("not received");
   writer_->finish();
   EXPECT_EQ(writer_->buffered_bytes(), 0U);
   EXPECT_EQ(server_->requests_in_progress(), 0U);
@@ -119,7 +120,7 @@
   EXPECT_TRUE(recorded_.error);
 }
 
-TEST_F(HttpServerTest, TellsHowMuchASlowReaderPilesUp) {
+TEST_F(HttpServerTest, ReportsBytesBufferedForASlowReader) {
   serve();
   RawCaller caller(dispatcher_, server_->local());
   caller.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -139,14 +140,14 @@
   caller.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   caller.stop_reading();
   ASSERT_TRUE(run([&] { return handled_ == 1; }));
-  bool left = false;
-  writer_->set_on_closed([&] { left = true; });
+  bool disconnected = false;
+  writer_->set_on_closed([&] { disconnected = true; });
   writer_->start(200, {});
   writer_->write(std::string(64 << 20, 'x'));
-  EXPECT_TRUE(run([&] { return left; }));
+  EXPECT_TRUE(run([&] { return disconnected; }));
 }
 
-TEST_F(HttpServerTest, LongAnswersAreNotCutByTheReadTimeout) {
+TEST_F(HttpServerTest, LongResponsesAreNotCutByTheReadTimeout) {
   serve({.idle_timeout = std::chrono::milliseconds(30)});
   call(get("/"));
   ASSERT_TRUE(run([&] { return handled_ == 1; }));
@@ -222,9 +223,9 @@
   EXPECT_EQ(client_.open_connections(), 0U);
 }
 
-// A caller's HEAD was refused, and the text of the refusal followed the head of the answer: the
-// caller took it for its next answer. evhttp writes the body of an answer to HEAD like any other.
-TEST_F(HttpServerTest, AnAnswerToHeadHasNoBody) {
+// Guards against a body in the response to HEAD, which the caller takes for the next response:
+// evhttp writes a body in that case as in any other.
+TEST_F(HttpServerTest, ResponseToHeadHasNoBody) {
   serve();
   RawCaller caller(dispatcher_, server_->local());
   caller.send("HEAD /a HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -234,13 +235,13 @@
   EXPECT_TRUE(caller.received().ends_with("\r\n\r\n"));
 }
 
-// Back ends got requests that nobody had sent: what was meant as the body of a request was taken
-// for the next request of its connection, because evhttp reads no body behind HEAD or behind a
-// coding that it does not know, and takes the first of several lengths.
+// Guards against request smuggling to back ends: the body of a request was taken for the next
+// request of its connection, because evhttp reads no body after HEAD or an unknown transfer coding,
+// and uses the first of several lengths.
 class AmbiguousRequestTest : public HttpServerTest,
                              public testing::WithParamInterface<const char*> {};
 
-TEST_P(AmbiguousRequestTest, IsRefusedAndWhatFollowsIsNotRead) {
+TEST_P(AmbiguousRequestTest, IsRejectedAndTheFollowingBytesAreNotParsed) {
   serve();
   RawCaller caller(dispatcher_, server_->local());
   caller.send(std::string(GetParam()) + "GET /hidden HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -260,7 +261,7 @@
         "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length : 34\r\n\r\n",
         "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: +0\r\n\r\n"));
 
-TEST_F(HttpServerTest, TellsAnEmptyQueryFromNone) {
+TEST_F(HttpServerTest, DistinguishesAnEmptyQueryFromNone) {
   serve();
   for (const bool empty : {true, false}) {
     HttpRequest request = get("/a");
--- a/tests/http/loopback.h
+++ b/tests/http/loopback.h
@@ -1,4 +1,4 @@
-// What the loopback tests of the HTTP server and client share.
+// Helpers shared by the loopback tests of the HTTP server and client.
 #pragma once
 
 #include <functional>
@@ -9,7 +9,7 @@
 
 namespace chalkshed {
 
-// Runs the loop until `condition` holds. @return false when it does not for 10 seconds.
+// Runs the event loop until `condition` holds. @return false if it does not hold within 10 seconds.
 inline bool run_until(EventDispatcher& dispatcher, const std::function<bool()>& condition) {
   bool expired = false;
   const TimerPtr guard = dispatcher.create_timer([&] { expired = true; });
@@ -40,7 +40,7 @@
   std::function<void()> on_data;
 };
 
-// Handler made of a function.
+// A handler that calls a function.
 class FunctionHandler : public HttpHandler {
  public:
   explicit FunctionHandler(std::function<void(HttpRequest, ResponseWriterPtr)> function)
--- a/tests/http/raw_server.h
+++ b/tests/http/raw_server.h
@@ -1,4 +1,4 @@
-// A server that answers each connection with fixed bytes, to show the client broken answers.
+// A server that sends fixed bytes on each connection, to test the client with invalid responses.
 #pragma once
 
 #include <event2/buffer.h>
@@ -18,9 +18,9 @@
 
 class RawServer {
  public:
-  // Sends `answer` upon the first bytes of each connection; then closes it when `close_after`.
-  RawServer(EventDispatcher& dispatcher, std::string answer, bool close_after)
-      : answer_(std::move(answer)), close_after_(close_after) {
+  // Sends `response` after the first bytes on each connection, then closes it if `close_after`.
+  RawServer(EventDispatcher& dispatcher, std::string response, bool close_after)
+      : response_(std::move(response)), close_after_(close_after) {
     const std::optional<SocketAddress> any = to_socket_address({"127.0.0.1", 0});
     listener_ = evconnlistener_new_bind(dispatcher.base(), &RawServer::on_accept, this,
                                         LEV_OPT_CLOSE_ON_FREE, 16, any->get(),
@@ -40,8 +40,8 @@
   RawServer& operator=(const RawServer&) = delete;
   const Address& local() const { return local_; }
   size_t accepted() const { return accepted_; }
-  // Reaches the callers' kernel before this returns.
-  void send_unasked(const std::string& bytes) {
+  // The bytes have reached the callers' sockets when this returns.
+  void send_unsolicited(const std::string& bytes) {
     for (bufferevent* connection : connections_) {
       EXPECT_EQ(::send(bufferevent_getfd(connection), bytes.data(), bytes.size(), MSG_NOSIGNAL),
                 static_cast<ssize_t>(bytes.size()));
@@ -70,20 +70,20 @@
     auto* self = static_cast<RawServer*>(argument);
     evbuffer* input = bufferevent_get_input(connection);
     evbuffer_drain(input, evbuffer_get_length(input));
-    self->answered_ = true;
-    bufferevent_write(connection, self->answer_.data(), self->answer_.size());
+    self->responded_ = true;
+    bufferevent_write(connection, self->response_.data(), self->response_.size());
   }
   static void on_written(bufferevent* connection, void* argument) {
     auto* self = static_cast<RawServer*>(argument);
-    if (self->close_after_ && self->answered_) {
+    if (self->close_after_ && self->responded_) {
       std::erase(self->connections_, connection);
       bufferevent_free(connection);
     }
   }
 
-  std::string answer_;
+  std::string response_;
   bool close_after_;
-  bool answered_ = false;
+  bool responded_ = false;
   evconnlistener* listener_;
   Address local_;
   size_t accepted_ = 0;
--- a/tests/http/response_parser_test.cc
+++ b/tests/http/response_parser_test.cc
@@ -5,7 +5,7 @@
 namespace chalkshed {
 namespace {
 
-std::optional<uint32_t> kept_for(const std::string& header) {
+std::optional<uint32_t> keep_alive_seconds_of(const std::string& header) {
   ResponseHeadParser parser(false);
   parser.add_line("HTTP/1.1 200 OK");
   parser.add_line("Content-Length: 0");
@@ -16,12 +16,12 @@
   return parser.head().keep_alive_seconds;
 }
 
-TEST(ResponseParserTest, ReadsHowLongAnIdleConnectionIsKept) {
-  EXPECT_EQ(kept_for("timeout=5, max=100"), 5U);
-  EXPECT_EQ(kept_for("max=3, Timeout=7"), 7U);
-  EXPECT_EQ(kept_for("timeout=99999999999"), 24U * 3600U);
+TEST(ResponseParserTest, ParsesTheKeepAliveTimeout) {
+  EXPECT_EQ(keep_alive_seconds_of("timeout=5, max=100"), 5U);
+  EXPECT_EQ(keep_alive_seconds_of("max=3, Timeout=7"), 7U);
+  EXPECT_EQ(keep_alive_seconds_of("timeout=99999999999"), 24U * 3600U);
   for (const char* other : {"", "max=100", "timeout=", "timeout=x", "5"}) {
-    EXPECT_FALSE(kept_for(other)) << other;
+    EXPECT_FALSE(keep_alive_seconds_of(other)) << other;
   }
 }
 
