--- a/src/event/event_datagram_transport.cc
+++ b/src/event/event_datagram_transport.cc
@@ -11,7 +11,7 @@
 namespace chalkshed {
 namespace {
 
-// Datagrams taken in one turn of the loop, so that a flood does not starve other sockets.
+// Maximum datagrams read per turn of the event loop, so that a flood does not starve other sockets.
 constexpr int kMaxDatagramsPerTurn = 64;
 
 }  // namespace
--- a/src/event/event_datagram_transport.h
+++ b/src/event/event_datagram_transport.h
@@ -9,16 +9,16 @@
 
 class EventDatagramTransport : public DatagramTransport {
  public:
-  // Binds at once. Throws std::runtime_error when the address cannot be bound.
+  // Binds the socket. Throws std::runtime_error if the address cannot be bound.
   EventDatagramTransport(EventDispatcher& dispatcher, const Address& local);
   ~EventDatagramTransport() override;
   EventDatagramTransport(const EventDatagramTransport&) = delete;
   EventDatagramTransport& operator=(const EventDatagramTransport&) = delete;
 
-  // Datagrams that the kernel does not take at once are dropped.
+  // Datagrams that the kernel does not accept immediately are dropped.
   void send(const Address& to, std::string_view datagram) override;
   void set_receiver(Receiver receiver) override { receiver_ = std::move(receiver); }
-  // The bound address, with the port that the system chose when it was 0.
+  // The bound address, with the port that the system chose if 0 was given.
   const Address& local() const { return local_; }
 
  private:
--- a/src/event/event_dispatcher.cc
+++ b/src/event/event_dispatcher.cc
@@ -12,7 +12,7 @@
 namespace chalkshed {
 namespace {
 
-// A timer must never fire before its delay has passed on the time source, whose readings are
+// A timer must never fire before its delay has passed on the time source, whose values are
 // truncated to microseconds.
 timeval timer_delay(Duration delay) {
   constexpr Duration kTruncation{1};
@@ -28,8 +28,8 @@
 
 event_base* create_base() {
   event_config* config = event_config_new();
-  // The default timers of libevent are as coarse as the kernel's tick and count from the begin of
-  // the loop turn; engines take a step every few milliseconds.
+  // By default, libevent's timers have the resolution of the kernel tick and count from the start
+  // of the loop turn, which is too coarse for engines with a step every few milliseconds.
   event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
   event_config_set_flag(config, EVENT_BASE_FLAG_NO_CACHE_TIME);
   event_config_set_flag(config, EVENT_BASE_FLAG_NOLOCK);
@@ -47,14 +47,14 @@
  public:
   EventTimer(EventDispatcher& dispatcher, std::function<void()> callback)
       : dispatcher_(dispatcher),
-        living_(&dispatcher.timers_),
+        live_timers_(&dispatcher.timers_),
         callback_(std::move(callback)),
         event_(evtimer_new(dispatcher.base_, &EventTimer::on_fire, this)) {
-    living_->insert(this);
+    live_timers_->insert(this);
   }
   ~EventTimer() override {
-    if (living_ != nullptr) {
-      living_->erase(this);
+    if (live_timers_ != nullptr) {
+      live_timers_->erase(this);
       event_free(event_);
     }
   }
@@ -66,8 +66,8 @@
     const timeval timeout = timer_delay(delay);
     evtimer_add(event_, &timeout);
   }
-  // The machine was suspended for so long while the timer waited.
-  void hasten(Duration suspended) {
+  // Moves the due time forward by the time for which the machine was suspended.
+  void advance(Duration suspended) {
     if (enabled()) {
       due_ -= suspended;
       const timeval timeout = timer_delay(due_ - steady_now());
@@ -76,9 +76,9 @@
   }
   void disable() override { evtimer_del(event_); }
   bool enabled() const override { return evtimer_pending(event_, nullptr) != 0; }
-  // The loop ends. Destroys the timer if its own callback holds it.
-  void end_with_loop() {
-    living_ = nullptr;
+  // Called when the loop is destroyed. Destroys the timer if its own callback owns it.
+  void detach_from_loop() {
+    live_timers_ = nullptr;
     event_free(event_);
     const std::function<void()> dropped = std::exchange(callback_, nullptr);
   }
@@ -91,11 +91,11 @@
     const std::function<void()> callback = timer->callback_;
     callback();
   }
-  // Of the clock by which the loop's timers run.
+  // The clock that the event loop's timers use.
   static Duration steady_now() { return read_clock(CLOCK_MONOTONIC); }
 
   EventDispatcher& dispatcher_;
-  std::unordered_set<EventTimer*>* living_;  // null once the loop has ended
+  std::unordered_set<EventTimer*>* live_timers_;  // null once the loop is destroyed
   std::function<void()> callback_;
   event* event_;
   Duration due_{0};
@@ -107,16 +107,16 @@
 };
 
 Duration system_suspension() {
-  // A thread that loses the processor between two readings would take that for a suspension.
-  constexpr Duration kTogether = std::chrono::milliseconds(1);
-  constexpr int kMostTries = 5;
+  // If the thread were preempted between two clock reads, that time would count as a suspension.
+  constexpr Duration kMaxReadTime = std::chrono::milliseconds(1);
+  constexpr int kMaxTries = 5;
   Duration suspension{0};
-  for (int tries = 0; tries < kMostTries; ++tries) {
+  for (int attempt = 0; attempt < kMaxTries; ++attempt) {
     const Duration before = read_clock(CLOCK_MONOTONIC);
     const Duration with = read_clock(CLOCK_BOOTTIME);
     const Duration after = read_clock(CLOCK_MONOTONIC);
     suspension = with - after;
-    if (after - before < kTogether) {
+    if (after - before < kMaxReadTime) {
       break;
     }
   }
@@ -135,9 +135,9 @@
   }
   event_free(posted_event_);
   posted_.clear();
-  // call_after() leaves a timer to its own callback; nobody else would end those that still wait.
+  // A timer of call_after() is owned by its own callback; pending ones would leak otherwise.
   while (!timers_.empty()) {
-    timers_.extract(timers_.begin()).value()->end_with_loop();
+    timers_.extract(timers_.begin()).value()->detach_from_loop();
   }
   event_base_free(base_);
 }
@@ -148,7 +148,8 @@
 
 void EventDispatcher::post(std::function<void()> callback) {
   if (posted_.empty()) {
-    // A timer, not an activated event: it fires in the next turn, so sockets are served in between.
+    // A timer, not an activated event: it fires in the next turn, so sockets are handled in
+    // between.
     const timeval immediately{};
     evtimer_add(posted_event_, &immediately);
   }
@@ -168,15 +169,15 @@
 }
 
 void EventDispatcher::count_suspension() {
-  // A timer that is late by less is no worse than one on a busy machine.
-  constexpr Duration kShortest = std::chrono::milliseconds(100);
+  // A smaller delay is no worse than that of a timer on a busy machine.
+  constexpr Duration kMinSuspension = std::chrono::milliseconds(100);
   const Duration suspended = suspension_() - counted_suspension_;
-  if (suspended < kShortest) {
+  if (suspended < kMinSuspension) {
     return;
   }
   counted_suspension_ += suspended;
   for (EventTimer* timer : timers_) {
-    timer->hasten(suspended);
+    timer->advance(suspended);
   }
 }
 
--- a/src/event/event_dispatcher.h
+++ b/src/event/event_dispatcher.h
@@ -1,4 +1,4 @@
-// Event loop over libevent, for real processes. One instance runs on one thread.
+// Event loop based on libevent, for real processes. Each instance runs on a single thread.
 #pragma once
 
 #include <functional>
@@ -14,12 +14,12 @@
 
 class EventTimer;
 
-// @return how long this machine has been suspended since it started, in all.
+// @return the total time for which this machine has been suspended since it booted.
 Duration system_suspension();
 
 class EventDispatcher : public Dispatcher {
  public:
-  // @param suspension tells system_suspension(); tests give their own.
+  // @param suspension returns the total suspended time; tests pass their own function.
   explicit EventDispatcher(std::function<Duration()> suspension = &system_suspension);
   ~EventDispatcher() override;
   EventDispatcher(const EventDispatcher&) = delete;
@@ -30,7 +30,7 @@
 
   // Runs the loop until stop() is called.
   void run();
-  // Runs what is ready now and returns; waits for one event when `may_block`.
+  // Handles the events that are ready and returns; waits for one event if `may_block`.
   void run_once(bool may_block);
   // Makes run() return after the current turn.
   void stop();
@@ -43,8 +43,8 @@
   struct SignalHandler;
   static void on_posted(int socket, short what, void* argument);
   void run_posted();
-  // Fires the timers that came due while the machine was suspended: the kernel's timers stand still
-  // then, and what they wait for does not.
+  // Fires the timers that became due while the machine was suspended: the kernel's timers stop
+  // during a suspension, but the deadlines that they stand for do not.
   void count_suspension();
   friend class EventTimer;
 
--- a/src/event/socket_address.h
+++ b/src/event/socket_address.h
@@ -18,12 +18,12 @@
   const sockaddr* get() const { return reinterpret_cast<const sockaddr*>(&storage); }
 };
 
-// @return nothing when `address.ip` is not a numeric IPv4 or IPv6 address.
+// @return nothing if `address.ip` is not a numeric IPv4 or IPv6 address.
 std::optional<SocketAddress> to_socket_address(const Address& address);
 
 Address to_address(const sockaddr* address);
 
-// Parses "ip:port" or "[ipv6]:port". @return nothing when it is neither.
+// Parses "ip:port" or "[ipv6]:port". @return nothing if it is neither.
 std::optional<Address> parse_numeric_address(std::string_view text);
 
 }  // namespace chalkshed
--- a/src/event/socket_liveness.cc
+++ b/src/event/socket_liveness.cc
@@ -14,16 +14,16 @@
 }  // namespace
 
 bool set_socket_liveness(int socket, const socket_liveness_knobs& knobs) {
-  const auto unacknowledged =
-      std::chrono::duration_cast<std::chrono::milliseconds>(knobs.unacknowledged);
-  const bool sent =
-      set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(unacknowledged.count()));
+  const auto acknowledgement_timeout =
+      std::chrono::duration_cast<std::chrono::milliseconds>(knobs.acknowledgement_timeout);
+  const bool sent = set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
+                               static_cast<int>(acknowledgement_timeout.count()));
   const bool probed =
       set_option(socket, SOL_SOCKET, SO_KEEPALIVE, 1) &&
-      set_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, static_cast<int>(knobs.rest.count())) &&
+      set_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, static_cast<int>(knobs.idle_time.count())) &&
       set_option(socket, IPPROTO_TCP, TCP_KEEPINTVL,
-                 static_cast<int>(knobs.between_probes.count())) &&
-      set_option(socket, IPPROTO_TCP, TCP_KEEPCNT, knobs.unanswered_probes);
+                 static_cast<int>(knobs.probe_interval.count())) &&
+      set_option(socket, IPPROTO_TCP, TCP_KEEPCNT, knobs.max_unanswered_probes);
   return sent && probed;
 }
 
--- a/src/event/system_time_source.h
+++ b/src/event/system_time_source.h
@@ -7,7 +7,7 @@
 
 class SystemTimeSource : public TimeSource {
  public:
-  // CLOCK_BOOTTIME: goes on while the machine is suspended.
+  // CLOCK_BOOTTIME: includes the time for which the machine is suspended.
   MonotonicTime monotonic_now() const override;
   WallTime wall_now() const override;
 };
--- a/tests/event/event_dispatcher_test.cc
+++ b/tests/event/event_dispatcher_test.cc
@@ -41,9 +41,9 @@
   }
 }
 
-// The kernel's timers stand still while a machine is suspended; requests, leases and questions grow
-// old. After a suspension of 30 s every timer would fire 30 s late.
-TEST(EventDispatcherTest, ASuspendedMachineCountsTheTimeForItsTimers) {
+// The kernel's timers stop while a machine is suspended, but requests, leases and questions age in
+// that time. Without a correction, every timer would fire 30 s late after a suspension of 30 s.
+TEST(EventDispatcherTest, TimersCountTheTimeOfASuspension) {
   Duration suspended{0};
   EventDispatcher dispatcher([&] { return suspended; });
   bool due = false;
@@ -59,8 +59,8 @@
     tick->enable(std::chrono::milliseconds(1));
   });
   tick->enable(std::chrono::milliseconds(1));
-  constexpr int kMostTicks = 100;
-  while (!due && ticks < kMostTicks) {
+  constexpr int kMaxTicks = 100;
+  while (!due && ticks < kMaxTicks) {
     dispatcher.run_once(true);
   }
   EXPECT_TRUE(due);
@@ -79,10 +79,10 @@
   EXPECT_EQ(timer, nullptr);
 }
 
-// Nodes that had ended a planned stop left the timer of their last look at it behind, as the leak
-// checker told: a call after a delay is held by its own timer until a turn of the loop behind the
-// call, and the loop had ended by then. What still waits as a loop ends goes with it.
-TEST(EventDispatcherTest, CallsAfterADelayEndWithTheLoop) {
+// Guards against a leak at the end of a drain, reported by the leak checker: the state of
+// call_after() is owned by its own timer until the turn of the event loop after the call, and the
+// loop had stopped before that turn. Pending calls have to be destroyed with the loop.
+TEST(EventDispatcherTest, PendingDelayedCallsAreDestroyedWithTheLoop) {
   auto held = std::make_shared<int>();
   const std::weak_ptr<int> watched = held;
   {
--- a/tests/event/socket_liveness_test.cc
+++ b/tests/event/socket_liveness_test.cc
@@ -16,7 +16,7 @@
   return value;
 }
 
-TEST(SocketLivenessTest, AConnectionIsProbedAtRestAndTimedWhileItSends) {
+TEST(SocketLivenessTest, SetsKeepAliveProbesAndTheUserTimeout) {
   const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
   ASSERT_GE(socket, 0);
   EXPECT_EQ(option(socket, SOL_SOCKET, SO_KEEPALIVE), 0);
@@ -29,7 +29,7 @@
   close(socket);
 }
 
-TEST(SocketLivenessTest, WhatIsNoSocketIsToldApart) { EXPECT_FALSE(set_socket_liveness(-1)); }
+TEST(SocketLivenessTest, FailsForAnInvalidDescriptor) { EXPECT_FALSE(set_socket_liveness(-1)); }
 
 }  // namespace
 }  // namespace chalkshed
