--- a/src/core/address.h
+++ b/src/core/address.h
@@ -1,4 +1,4 @@
-// Network address of a process: an IP number and a port.
+// Network address of a process: an IP address and a port.
 #pragma once
 
 #include <compare>
@@ -8,7 +8,7 @@
 namespace chalkshed {
 
 struct Address {
-  std::string ip;  // numeric IPv4 or IPv6 address; names are never resolved
+  std::string ip;  // numeric IPv4 or IPv6 address; host names are never resolved
   uint16_t port = 0;
 
   auto operator<=>(const Address&) const = default;
--- a/src/core/base64.h
+++ b/src/core/base64.h
@@ -9,7 +9,7 @@
 
 std::string encode_base64(std::string_view bytes);
 
-// @return the bytes, or nothing when `text` is not well-formed base64.
+// @return the bytes, or nothing if `text` is not well-formed base64.
 std::optional<std::string> decode_base64(std::string_view text);
 
 }  // namespace chalkshed
--- a/src/core/call_after.h
+++ b/src/core/call_after.h
@@ -1,4 +1,4 @@
-// Runs a function once after a delay, without a timer to keep.
+// Runs a function once after a delay, without a timer object at the caller.
 #pragma once
 
 #include <functional>
@@ -8,7 +8,7 @@
 
 namespace chalkshed {
 
-// @param dispatcher outlives the call. @param function guards its own receiver, see Lifetime.
+// @param dispatcher must outlive the call. @param function wrap it by Lifetime::guard() if needed.
 inline void call_after(Dispatcher& dispatcher, Duration delay, std::function<void()> function) {
   auto timer = std::make_shared<TimerPtr>();
   *timer = dispatcher.create_timer([&dispatcher, timer, function = std::move(function)] {
--- a/src/core/digest.h
+++ b/src/core/digest.h
@@ -1,4 +1,4 @@
-// Content digests that name configuration blocks, job bodies and cached prefixes.
+// Content digests that identify configuration blocks, job bodies and cached prefixes.
 #pragma once
 
 #include <cstdint>
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -23,9 +23,9 @@
 class Dispatcher {
  public:
   virtual ~Dispatcher() = default;
-  // @param callback called on the loop each time the timer fires.
+  // @param callback runs on the event loop each time the timer fires.
   virtual TimerPtr create_timer(std::function<void()> callback) = 0;
-  // Runs `callback` in a later turn of the loop, never inside this call. Calls keep their order.
+  // Runs `callback` in a later turn of the event loop, never inside this call. Keeps the order.
   virtual void post(std::function<void()> callback) = 0;
 };
 
--- a/src/core/http_message.h
+++ b/src/core/http_message.h
@@ -1,4 +1,4 @@
-// HTTP messages as the gateway and the adapters see them, free of any HTTP library.
+// HTTP messages as the gateway and the adapters use them, independent of any HTTP library.
 #pragma once
 
 #include <functional>
@@ -22,8 +22,8 @@
 // @return the value of the first header of that name (case-insensitive), if any.
 std::optional<std::string_view> find_header(const HttpHeaders& headers, std::string_view name);
 
-// Whether `name` can stand in front of a header's colon: a token by RFC 9110, section 5.6.2. Other
-// names are read differently by different servers.
+// Whether `name` is a valid header name: a token as defined by RFC 9110, section 5.6.2. Other names
+// are parsed differently by different servers.
 bool is_header_name(std::string_view name);
 
 struct HttpRequest {
@@ -33,7 +33,7 @@
   HttpHeaders headers;
   std::string body;
   Address peer;
-  // The target ends in a '?' with nothing behind it: for some back ends not the same as without.
+  // The target ends in '?' without a query, which some back ends distinguish from no '?'.
   bool has_empty_query = false;
 };
 
@@ -43,28 +43,28 @@
   std::string body;
 };
 
-// The answer to one request, as it is written. Exactly one of finish() and abort() ends it.
-// Destroying a writer that was not ended aborts it.
+// Writes the response to one request. Exactly one of finish() and abort() ends the response.
+// Destroying a writer whose response has not ended aborts it.
 class ResponseWriter {
  public:
   virtual ~ResponseWriter() = default;
-  // Sends status and headers of a streamed answer (chunked).
+  // Sends status and headers of a streamed (chunked) response.
   virtual void start(int status, const HttpHeaders& headers) = 0;
   virtual void write(std::string_view chunk) = 0;
   virtual void finish() = 0;
-  // Sends a whole answer with its length; stands for start, write and finish.
+  // Sends a complete response with its length; replaces start, write and finish.
   virtual void respond(const HttpResponse& response) = 0;
-  // Closes the connection so that the caller sees a broken answer, never a short one.
+  // Closes the connection so that the caller detects a truncated response as an error.
   virtual void abort() = 0;
-  // @return bytes written but not yet taken by the peer; bounds what a slow reader may pile up.
+  // @return bytes written but not yet read by the peer; used to limit buffering for slow readers.
   virtual size_t buffered_bytes() const = 0;
-  // Calls `callback` once if the caller goes away before the answer ended. The writer must not be
-  // used afterwards except to destroy it.
+  // Calls `callback` once if the caller disconnects before the response has ended. Afterwards the
+  // writer may only be destroyed.
   virtual void set_on_closed(std::function<void()> callback) = 0;
 };
 using ResponseWriterPtr = std::unique_ptr<ResponseWriter>;
 
-// Serves HTTP requests. Implementations answer through the writer now or later.
+// Handles HTTP requests. Implementations respond through the writer, immediately or later.
 class HttpHandler {
  public:
   virtual ~HttpHandler() = default;
--- a/src/core/lifetime.h
+++ b/src/core/lifetime.h
@@ -1,4 +1,4 @@
-// Guards against callbacks that arrive after their receiver is gone.
+// Guards against callbacks that run after their receiver is destroyed.
 #pragma once
 
 #include <memory>
@@ -6,7 +6,7 @@
 
 namespace chalkshed {
 
-// Member of a component that hands out asynchronous callbacks. Declare it last, so that it is
+// Member of a component that registers asynchronous callbacks. Declare it last, so that it is
 // destroyed first. A callback wrapped by guard() does nothing once the component is destroyed.
 //
 //   store_.read(key, lifetime_.guard([this](Expected<...> row) { ... }));
--- a/src/core/number_text.h
+++ b/src/core/number_text.h
@@ -1,4 +1,4 @@
-// Numbers read from text, and durations written for log lines.
+// Parsing of numbers, and formatting of durations for log lines.
 #pragma once
 
 #include <charconv>
@@ -11,7 +11,7 @@
 
 namespace chalkshed {
 
-// @return the number that the whole text is; nothing for any other text, or one beyond the type.
+// @return the number, or nothing if the whole text is not a number in the range of the type.
 template <typename Number>
 std::optional<Number> parse_number(std::string_view text, int base = 10) {
   Number value = 0;
--- a/src/core/precompiled.cc
+++ b/src/core/precompiled.cc
@@ -1,1 +1,1 @@
-// Gives the precompiled header a target to belong to.
+// The source file of the target that owns the precompiled header.
--- a/src/core/precompiled.h
+++ b/src/core/precompiled.h
@@ -1,4 +1,4 @@
-// Standard headers that nearly every unit includes, precompiled once.
+// Standard headers that nearly every translation unit includes, precompiled once.
 #pragma once
 
 #include <algorithm>
--- a/src/core/random.h
+++ b/src/core/random.h
@@ -1,4 +1,4 @@
-// Source of random numbers, injected so that runs can be replayed from a seed.
+// Source of random numbers, injected so that runs can be reproduced from a seed.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
  public:
   virtual ~RandomGenerator() = default;
   virtual uint64_t next() = 0;
-  // @return a number in [0, bound); 0 when bound is 0. The slight modulo bias is acceptable here.
+  // @return a number in [0, bound); 0 if bound is 0. The slight modulo bias is acceptable here.
   uint64_t below(uint64_t bound) { return bound == 0 ? 0 : next() % bound; }
   // @return a number in [0, 1).
   double unit() { return static_cast<double>(next() >> 11U) * 0x1.0p-53; }
--- a/src/core/time.h
+++ b/src/core/time.h
@@ -1,5 +1,5 @@
-// Time types and the clock interface. Every component takes its time from an injected
-// TimeSource, so that the simulator can run the same code under virtual time.
+// Time types and the clock interface. Every component reads the time from an injected
+// TimeSource, so that the simulator can run the same code in virtual time.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
 using Duration = std::chrono::microseconds;
 
 // Tag of the monotonic clock. It includes time spent suspended (CLOCK_BOOTTIME on Linux), so a
-// lease cannot appear valid to a holder that slept through its expiry.
+// lease cannot appear valid to an owner that was suspended when it expired.
 struct MonotonicClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -20,7 +20,7 @@
 };
 using MonotonicTime = MonotonicClock::time_point;
 
-// Wall-clock time, only for what people read (creation dates, log lines). Never for ordering.
+// Wall-clock time, only for display (creation dates, log lines). Never used for ordering.
 using WallTime = std::chrono::time_point<std::chrono::system_clock, Duration>;
 
 // Source of the current time.
--- a/src/core/utf8.cc
+++ b/src/core/utf8.cc
@@ -6,7 +6,7 @@
 namespace chalkshed {
 namespace {
 
-// The sequences of one length: their first bytes, and the bounds of the second one (RFC 3629).
+// A class of UTF-8 sequences: ranges of the first and second byte, and the length (RFC 3629).
 struct SequenceForm {
   uint8_t first_from;
   uint8_t first_to;
--- a/src/core/utf8.h
+++ b/src/core/utf8.h
@@ -1,4 +1,4 @@
-// Text of other writers is any bytes; what reads it as UTF-8 must not fail on them.
+// Replacement of invalid UTF-8, because text from external writers may contain any bytes.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace chalkshed {
 
-// @return the text with U+FFFD in place of each byte that belongs to no well-formed UTF-8 sequence.
+// @return the text with each byte that is not part of a valid UTF-8 sequence replaced by U+FFFD.
 std::string with_valid_utf8(std::string_view text);
 
 }  // namespace chalkshed
