--- a/src/logging/bounded_sink.cc
+++ b/src/logging/bounded_sink.cc
@@ -9,7 +9,7 @@
 namespace chalkshed {
 namespace {
 
-// A pipe that polls as writable takes this much at once (POSIX: PIPE_BUF).
+// A pipe that polls as writable accepts this many bytes without blocking (POSIX: PIPE_BUF).
 constexpr size_t kWritableBytes = 4096;
 
 }  // namespace
@@ -26,14 +26,14 @@
     ++dropped_;
     return;
   }
-  if (dropped_ > told_) {
+  if (dropped_ > reported_) {
     const std::string notice =
         "{\"event\":\"log_lines_dropped\",\"total\":\"" + std::to_string(dropped_) + "\"}\n";
     if (!write_line(notice.data(), notice.size())) {
       ++dropped_;
       return;
     }
-    told_ = dropped_;
+    reported_ = dropped_;
   }
   if (!write_line(line.data(), line.size())) {
     ++dropped_;
@@ -43,7 +43,7 @@
 bool BoundedSink::within_budget(size_t bytes, std::chrono::system_clock::time_point now) {
   const double elapsed = std::chrono::duration<double>(now - refilled_).count();
   refilled_ = now;
-  // The time of day may jump; a jump refills at most the burst.
+  // The wall clock may jump; a jump adds at most burst_bytes.
   tokens_ =
       std::clamp(tokens_ + std::max(elapsed, 0.0) * static_cast<double>(budget_.bytes_per_second),
                  0.0, static_cast<double>(budget_.burst_bytes));
--- a/src/logging/bounded_sink.h
+++ b/src/logging/bounded_sink.h
@@ -1,5 +1,5 @@
-// spdlog sink that writes to a file descriptor without ever waiting for its reader, within a budget
-// of bytes. Tells how many lines were left out as soon as there is room again.
+// spdlog sink that writes to a file descriptor within a byte budget and never blocks on its reader.
+// Reports the number of dropped lines as soon as lines can be written again.
 #pragma once
 
 #include <spdlog/sinks/base_sink.h>
@@ -14,7 +14,7 @@
 class BoundedSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   BoundedSink(int file_descriptor, const LogBudget& budget);
-  // Lines that were left out since the start.
+  // Number of lines dropped since the start.
   uint64_t dropped() const { return dropped_; }
 
  protected:
@@ -30,7 +30,7 @@
   double tokens_;
   std::chrono::system_clock::time_point refilled_{};
   uint64_t dropped_ = 0;
-  uint64_t told_ = 0;
+  uint64_t reported_ = 0;
 };
 
 }  // namespace chalkshed
--- a/src/logging/logger.h
+++ b/src/logging/logger.h
@@ -1,4 +1,4 @@
-// Structured logging: one event a line, with named fields.
+// Structured logging: one event per line, with named fields.
 #pragma once
 
 #include <initializer_list>
@@ -17,14 +17,14 @@
 class Logger {
  public:
   virtual ~Logger() = default;
-  // Whether lines of that level are written: spares the making of fields that nobody reads.
+  // Whether lines of that level are written; lets callers avoid building unused fields.
   virtual bool enabled(LogLevel /*level*/) const { return true; }
-  // @param event stable snake_case name of what happened.
+  // @param event stable snake_case name of the event.
   virtual void write(LogLevel level, std::string_view event,
                      std::initializer_list<LogField> fields) = 0;
 };
 
-// Drops everything; for tests and the simulator.
+// Discards all events; for tests and the simulator.
 class NullLogger : public Logger {
  public:
   bool enabled(LogLevel) const override { return false; }
--- a/src/logging/structured_logger.cc
+++ b/src/logging/structured_logger.cc
@@ -27,7 +27,7 @@
   return spdlog::level::err;
 }
 
-// Appends `text` quoted; the escapes are those of JSON.
+// Appends `text` in quotes, with JSON escapes.
 void append_quoted(std::string& line, std::string_view text) {
   constexpr unsigned char kFirstPrintable = 0x20;
   line += '"';
@@ -127,7 +127,7 @@
   for (const LogField& field : fields) {
     append_pair(line, format, field.name, field.value);
   }
-  // Entries of the store and requests bring any bytes; readers of logs take lines for UTF-8.
+  // Store rows and requests may contain any bytes, but log readers expect UTF-8.
   const bool ascii = std::none_of(line.begin(), line.end(), [](char letter) { return letter < 0; });
   return ascii ? line : with_valid_utf8(line);
 }
--- a/src/logging/structured_logger.h
+++ b/src/logging/structured_logger.h
@@ -1,5 +1,5 @@
-// Logger that writes one line an event, as key=value or JSON. Its volume is bounded, and it never
-// blocks: a line that the reader of the stream has no room for is left out and counted.
+// Logger that writes one line per event, as key=value or JSON. Its volume is limited, and it never
+// blocks: a line that cannot be written immediately is dropped and counted.
 #pragma once
 
 #include <memory>
@@ -18,7 +18,7 @@
 
 class StructuredLogger : public Logger {
  public:
-  // @param node stands in every line, unless empty: tells apart the lines of several nodes.
+  // @param node included in every line unless empty, to distinguish the lines of several nodes.
   StructuredLogger(LogLevel level, LogLineFormat format,
                    LogStream stream = LogStream::kStandardError, const LogBudget& budget = {},
                    const std::string& node = "");
@@ -35,7 +35,7 @@
   std::unique_ptr<Implementation> implementation_;
 };
 
-// @return the part of a line behind time and level: event and fields, without line breaks.
+// @return the part of a line after time and level: event and fields, without line breaks.
 std::string format_log_event(LogLineFormat format, std::string_view event,
                              std::initializer_list<LogField> fields);
 
--- a/tests/logging/structured_logger_test.cc
+++ b/tests/logging/structured_logger_test.cc
@@ -5,7 +5,7 @@
 namespace chalkshed {
 namespace {
 
-TEST(StructuredLoggerTest, QuotesOnlyWhatNeedsIt) {
+TEST(StructuredLoggerTest, QuotesOnlyValuesThatNeedIt) {
   EXPECT_EQ(format_log_event(LogLineFormat::kKeyValue, "started",
                              {{"id", "n1"}, {"note", "two words"}, {"empty", ""}}),
             R"(event=started id=n1 note="two words" empty="")");
