--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -1,4 +1,4 @@
-// Metrics interface; the Prometheus implementation stands behind it.
+// Metrics interface, implemented by PrometheusMetricsRegistry.
 #pragma once
 
 #include <cstdint>
@@ -27,8 +27,8 @@
   virtual void observe(double value) = 0;
 };
 
-// Instruments live as long as the registry; asking again for the same name and labels returns the
-// same instrument. Names follow Prometheus custom: chalkshed_<what>_<unit>[_total].
+// Instruments live as long as the registry; requests with the same name and labels return the same
+// instrument. Names follow the Prometheus convention: chalkshed_<what>_<unit>[_total].
 class MetricsRegistry {
  public:
   virtual ~MetricsRegistry() = default;
@@ -38,11 +38,11 @@
                        const MetricLabels& labels) = 0;
   virtual Histogram& histogram(const std::string& name, const std::string& help,
                                const MetricLabels& labels) = 0;
-  // All instruments in the Prometheus text format; empty when the registry keeps none.
+  // @return all instruments in the Prometheus text format; empty if the registry stores none.
   virtual std::string exposition() const { return {}; }
 };
 
-// Instruments that drop everything; for tests and the simulator.
+// Instruments that discard all values; for tests and the simulator.
 class NullMetricsRegistry : public MetricsRegistry {
  public:
   Counter& counter(const std::string&, const std::string&, const MetricLabels&) override {
--- a/src/metrics/prometheus_metrics.h
+++ b/src/metrics/prometheus_metrics.h
@@ -1,4 +1,4 @@
-// Metrics over the Prometheus client library, exposed as text.
+// Metrics based on the Prometheus client library, exposed as text.
 #pragma once
 
 #include <memory>
@@ -19,7 +19,7 @@
                    const MetricLabels& labels) override;
   Gauge& gauge(const std::string& name, const std::string& help,
                const MetricLabels& labels) override;
-  // Buckets suit seconds, from half a millisecond to a minute.
+  // The buckets are for seconds, from half a millisecond to a minute.
   Histogram& histogram(const std::string& name, const std::string& help,
                        const MetricLabels& labels) override;
   std::string exposition() const override;
--- a/tests/metrics/prometheus_metrics_test.cc
+++ b/tests/metrics/prometheus_metrics_test.cc
@@ -8,7 +8,7 @@
 
 using testing::HasSubstr;
 
-TEST(PrometheusMetricsTest, ExposesAllKinds) {
+TEST(PrometheusMetricsTest, ExposesAllInstrumentKinds) {
   PrometheusMetricsRegistry registry;
   registry.counter("chalkshed_requests_total", "Requests.", {{"service", "s"}}).add(2);
   registry.gauge("chalkshed_nodes", "Nodes.", {}).set(3);
