--- a/src/explain/timeline.cc
+++ b/src/explain/timeline.cc
@@ -12,8 +12,8 @@
 namespace chalkshed {
 namespace {
 
-// Events that change what a node believes, whatever request they concern.
-constexpr std::array<std::string_view, 17> kBeliefs = {
+// Events that change the state known to a node, independent of any request.
+constexpr std::array<std::string_view, 17> kStateEvents = {
     "store_lost",          "store_regained",        "table_history_lost",
     "table_listed",        "configuration_applied", "configuration_rejected",
     "peer_announced",      "session_lapsed",        "session_regained",
@@ -21,11 +21,11 @@
     "drain_began",         "drain_ended",           "settings_reloaded",
     "settings_rejected",   "log_lines_dropped"};
 
-bool is_belief(const LogLine& line) {
-  return std::find(kBeliefs.begin(), kBeliefs.end(), line.event) != kBeliefs.end();
+bool is_state_event(const LogLine& line) {
+  return std::find(kStateEvents.begin(), kStateEvents.end(), line.event) != kStateEvents.end();
 }
 
-// Seconds since 1970 of a time such as 2026-12-02T09:15:35.123456Z; 0 when it is none.
+// @return seconds since 1970 for a time such as 2026-12-02T09:15:35.123456Z; 0 if it is malformed.
 double seconds_of(const std::string& time) {
   std::tm parts{};
   double fraction = 0;
@@ -39,7 +39,7 @@
   return static_cast<double>(timegm(&parts)) + fraction;
 }
 
-bool names(const LogLine& line, const std::string& id) {
+bool contains_id(const LogLine& line, const std::string& id) {
   return std::any_of(line.fields.begin(), line.fields.end(),
                      [&](const LogLineField& field) { return field.value == id; });
 }
@@ -48,7 +48,7 @@
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-// @return the earliest line of which `matches` holds, or null.
+// @return the earliest line that satisfies `matches`, or null.
 template <typename Matches>
 const LogLine* first_line(const std::vector<LogLine>& lines, const Matches& matches) {
   const LogLine* first = nullptr;
@@ -66,17 +66,17 @@
       lines, [&](const LogLine& line) { return line.event == event && line.field("job") == job; });
 }
 
-std::string place_of(const LogLine& line) { return "by " + line.node + " at " + line.time; }
+std::string node_and_time(const LogLine& line) { return "by " + line.node + " at " + line.time; }
 
 std::string describe_job(const std::vector<LogLine>& lines, const std::string& job) {
   std::string text = "job " + job;
   const LogLine* accepted = first_of_job(lines, job, "job_accepted");
-  const LogLine* refused = first_of_job(lines, job, "job_not_accepted");
+  const LogLine* rejected = first_of_job(lines, job, "job_not_accepted");
   const LogLine* ended = first_of_job(lines, job, "job_ended");
-  text += accepted == nullptr ? ", whose acceptance no line tells"
-                              : ", accepted " + place_of(*accepted);
-  text += refused == nullptr ? "" : ", not accepted " + place_of(*refused);
-  text += ended == nullptr ? "" : ", ended " + place_of(*ended);
+  text += accepted == nullptr ? ", whose acceptance is not logged"
+                              : ", accepted " + node_and_time(*accepted);
+  text += rejected == nullptr ? "" : ", not accepted " + node_and_time(*rejected);
+  text += ended == nullptr ? "" : ", ended " + node_and_time(*ended);
   return text;
 }
 
@@ -87,7 +87,7 @@
     return line.field("request") == id || line.field("job") == id;
   });
   if (first == nullptr) {
-    return id + ": no line tells that anybody sent it (starts of items stand at the level debug)";
+    return id + ": its sender is not logged (starts of items are logged at level debug)";
   }
   const std::string job(first->field("job"));
   if (job == id) {
@@ -96,7 +96,7 @@
   if (!job.empty()) {
     return id + " is an item of " + describe_job(lines, job);
   }
-  return id + " is a request of a caller, first logged " + place_of(*first);
+  return id + " is a request of a caller, first logged " + node_and_time(*first);
 }
 
 std::string_view LogLine::field(std::string_view name) const {
@@ -137,7 +137,7 @@
   double first = 0;
   double last = 0;
   for (const LogLine& line : lines) {
-    if (!names(line, id)) {
+    if (!contains_id(line, id)) {
       continue;
     }
     nodes.insert(line.node);
@@ -151,13 +151,14 @@
   std::vector<LogLine> timeline;
   for (const LogLine& line : lines) {
     const double time = seconds_of(line.time);
-    const bool meanwhile = time >= first - kContextSeconds && time <= last + kContextSeconds;
-    const bool of_worker =
+    const bool in_window = time >= first - kContextSeconds && time <= last + kContextSeconds;
+    const bool about_worker =
         line.event.starts_with("worker_") && workers.contains(std::string(line.field("worker")));
-    const bool context = meanwhile && nodes.contains(line.node) && (is_belief(line) || of_worker);
-    if (names(line, id) || context) {
+    const bool context =
+        in_window && nodes.contains(line.node) && (is_state_event(line) || about_worker);
+    if (contains_id(line, id) || context) {
       timeline.push_back(line);
-      timeline.back().names_id = names(line, id);
+      timeline.back().names_id = contains_id(line, id);
     }
   }
   std::stable_sort(timeline.begin(), timeline.end(),
--- a/src/explain/timeline.h
+++ b/src/explain/timeline.h
@@ -1,5 +1,6 @@
-// From the logs of several nodes and the id of a request, a job or a worker to one timeline: the
-// lines that name the id, and those that changed what the nodes concerned believed meanwhile.
+// Merges the logs of several nodes into a timeline for the id of a request, a job or a worker: the
+// lines that contain the id, and those that changed the state known to the involved nodes
+// meanwhile.
 #pragma once
 
 #include <iosfwd>
@@ -17,37 +18,36 @@
 
 // One structured log line.
 struct LogLine {
-  std::string time;  // as written, UTC; sorts as text
+  std::string time;  // as logged, in UTC; sorts lexicographically
   std::string level;
   std::string node;
   std::string event;
-  std::vector<LogLineField> fields;  // in the order of the line, without those above
-  bool names_id = false;             // false: context
+  std::vector<LogLineField> fields;  // in the order of the line, without the above
+  bool names_id = false;             // false for context lines
 
-  // @return the field's value, or an empty text.
+  // @return the value of the field, or an empty string.
   std::string_view field(std::string_view name) const;
 };
 
-// Reads a line; whatever stands before its first '{' is ignored, so that lines with a prefix of a
-// log collector can be read too.
-// @return nothing when it is no structured log line.
+// Parses a line; everything before the first '{' is ignored, so that lines with a prefix added by a
+// log collector are accepted too.
+// @return nothing if it is not a structured log line.
 std::optional<LogLine> parse_log_line(std::string_view line);
 
-// What a node believed is told from this long before the first line that names the id.
+// Context starts this long before the first line with the id and ends this long after the last.
 inline constexpr int kContextSeconds = 3;
 
-// @return the lines that name `id`, and as context: those of the workers that were asked, and on
-// the nodes concerned those about the store, the configuration, other nodes, and stops; in order of
-// time.
+// @return the lines that contain `id` and, as context, the involved nodes' lines about the workers
+// used, the store, the configuration, other nodes and shutdowns, ordered by time.
 std::vector<LogLine> make_timeline(const std::vector<LogLine>& lines, const std::string& id);
 
-// @return in a sentence who had sent what a back end saw under `id`: the caller of a request, the
-// job of an item with its acceptance and its end, or nobody as far as the lines tell.
+// @return one sentence about the origin of the request that a back end received under `id`: the
+// caller of a request, the job of an item with its acceptance and end, or that it is not logged.
 std::string describe_origin(const std::vector<LogLine>& lines, const std::string& id);
 
-// Prints one line each, with seconds since the first that names the id.
+// Prints one line per entry, with seconds since the first line that contains the id.
 void print_timeline(const std::vector<LogLine>& timeline, std::ostream& output);
-// Prints one JSON object a line.
+// Prints one JSON object per line.
 void print_timeline_json(const std::vector<LogLine>& timeline, std::ostream& output);
 
 }  // namespace chalkshed
--- a/tests/explain/timeline_test.cc
+++ b/tests/explain/timeline_test.cc
@@ -17,7 +17,7 @@
   return lines;
 }
 
-TEST(ParseLogLineTest, ReadsALineBehindACollectorsPrefixAndSkipsOthers) {
+TEST(ParseLogLineTest, ParsesALineAfterACollectorPrefixAndRejectsOthers) {
   const auto line = parse_log_line(
       R"(  10.2 n1 {"time":"2026-12-02T10:00:00.5Z","level":"info","node":"n1","event":"e","a":"b"})");
   ASSERT_TRUE(line);
@@ -29,7 +29,7 @@
   EXPECT_FALSE(parse_log_line(R"({"no": "event"})"));
 }
 
-TEST(TimelineTest, JoinsNodesInOrderOfTimeWithWhatTheyBelieved) {
+TEST(TimelineTest, MergesNodesByTimeWithContextLines) {
   const std::vector<LogLine> lines = parse({
       R"({"time":"2026-12-02T10:00:04.000000Z","node":"n2","event":"request_ended_without_answer","request":"r1","worker":"i-2"})",
       R"({"time":"2026-12-02T10:00:03.000000Z","node":"n1","event":"send_refused","request":"r1","worker":"i-1"})",
@@ -58,12 +58,12 @@
   EXPECT_NE(json.str().find(R"("names_id":true,"request":"r1")"), std::string::npos);
 }
 
-TEST(TimelineTest, AnUnknownIdGivesNothing) {
+TEST(TimelineTest, UnknownIdGivesAnEmptyTimeline) {
   EXPECT_TRUE(
       make_timeline(parse({R"({"time":"2026-12-02T10:00:00Z","event":"e"})"}), "r").empty());
 }
 
-TEST(DescribeOriginTest, LeadsFromWhatABackEndSawToWhoSentIt) {
+TEST(DescribeOriginTest, FindsTheSenderOfARequestAtABackEnd) {
   const std::vector<LogLine> lines = parse({
       R"({"time":"2026-12-02T10:00:04Z","node":"n2","event":"item_started","job":"j1","request":"a"})",
       R"({"time":"2026-12-02T10:00:03Z","node":"n1","event":"job_ended","request":"j1","job":"j1"})",
@@ -72,20 +72,20 @@
       R"({"time":"2026-12-02T10:00:01Z","node":"n3","event":"job_not_accepted","request":"j2","job":"j2"})",
       R"({"time":"2026-12-02T10:00:05Z","node":"n3","event":"request_sent","request":"r1"})",
   });
-  const auto is = [&](const std::string& id, const std::string& text) {
+  const auto expect_origin = [&](const std::string& id, const std::string& text) {
     EXPECT_EQ(describe_origin(lines, id), id + text);
   };
-  is("a",
-     " is an item of job j1, accepted by n1 at 2026-12-02T10:00:01Z, ended by n1 at "
-     "2026-12-02T10:00:03Z");
-  is("b",
-     " is an item of job j2, whose acceptance no line tells, not accepted by n3 at "
-     "2026-12-02T10:00:01Z");
-  is("r1", " is a request of a caller, first logged by n3 at 2026-12-02T10:00:05Z");
-  is("j1",
-     " is job j1, accepted by n1 at 2026-12-02T10:00:01Z, ended by n1 at "
-     "2026-12-02T10:00:03Z");
-  is("x", ": no line tells that anybody sent it (starts of items stand at the level debug)");
+  expect_origin("a",
+                " is an item of job j1, accepted by n1 at 2026-12-02T10:00:01Z, ended by n1 at "
+                "2026-12-02T10:00:03Z");
+  expect_origin("b",
+                " is an item of job j2, whose acceptance is not logged, not accepted by n3 at "
+                "2026-12-02T10:00:01Z");
+  expect_origin("r1", " is a request of a caller, first logged by n3 at 2026-12-02T10:00:05Z");
+  expect_origin("j1",
+                " is job j1, accepted by n1 at 2026-12-02T10:00:01Z, ended by n1 at "
+                "2026-12-02T10:00:03Z");
+  expect_origin("x", ": its sender is not logged (starts of items are logged at level debug)");
 }
 
 }  // namespace
