--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -1,4 +1,4 @@
-// Outgoing HTTP calls. Platform adapters, the engine adapter and the pass-through use it.
+// Interface for outgoing HTTP calls of the platform and engine adapters and the pass-through.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +12,12 @@
 namespace chalkshed {
 
 struct HttpCallOptions {
-  // Pools are never shared between online and batch, so neither waits for the other's connections.
+  // Online and batch never share a pool, so neither waits for the other's connections.
   std::string pool = "default";
   bool fresh_connection = false;
   Duration connect_timeout = std::chrono::seconds(1);
   Duration idle_timeout = std::chrono::seconds(10);
-  // Value of the Host header; empty: the server's address.
+  // Value of the Host header; the server's address if empty.
   std::string host = {};
 };
 
@@ -28,20 +28,20 @@
   virtual void on_headers(int status, const HttpHeaders& headers) = 0;
   virtual void on_body(std::string_view data) = 0;
   virtual void on_end() = 0;  // the whole body has arrived
-  // kUnavailable with Ran::kNo when no byte of the request can have reached the server,
+  // kUnavailable with Ran::kNo if no byte of the request can have reached the server,
   // otherwise kUpstreamFailed.
   virtual void on_error(const Error& error) = 0;
 };
 
-// A call under way; destroying it abandons the call and closes its connection for good.
+// A call in progress; destroying it abandons the call and closes its connection.
 class HttpCall {
  public:
   virtual ~HttpCall() = default;
-  // Stops taking the answer from the server, which then has to wait; no event arrives until
-  // resume_reading(). The idle timeout does not run meanwhile. May be called inside an event.
+  // Stops reading the response, which applies back-pressure to the server; there are no events
+  // until resume_reading(). The idle timeout is suspended as well. May be called inside an event.
   virtual void pause_reading() {}
   virtual void resume_reading() {}
-  // How many requests its connection has carried, this one included: 1 on a new connection.
+  // Number of requests sent over its connection, this one included: 1 on a new connection.
   virtual uint64_t connection_use() const { return 1; }
 };
 using HttpCallPtr = std::unique_ptr<HttpCall>;
@@ -51,8 +51,8 @@
   virtual ~HttpClient() = default;
   virtual HttpCallPtr send(const Address& server, const HttpRequest& request,
                            const HttpCallOptions& options, HttpCallCallbacks& callbacks) = 0;
-  // Convenience for short answers: collects the whole response. Cannot be abandoned; the timeouts
-  // bound it.
+  // Convenience for short responses: collects the whole response. Cannot be abandoned; limited by
+  // the timeouts.
   virtual void fetch(const Address& server, const HttpRequest& request,
                      const HttpCallOptions& options, Callback<HttpResponse> callback) = 0;
 };
--- a/src/transport/http_peer_transport.cc
+++ b/src/transport/http_peer_transport.cc
@@ -7,7 +7,7 @@
 
 constexpr int kOk = 200;
 
-Expected<std::string> read_answer(Expected<HttpResponse> response) {
+Expected<std::string> read_response(Expected<HttpResponse> response) {
   if (!response) {
     return tl::unexpected(std::move(response.error()));
   }
@@ -32,7 +32,7 @@
   options.idle_timeout = knobs_.idle_timeout;
   client_.fetch(node, request, options,
                 [callback = std::move(callback)](Expected<HttpResponse> response) {
-                  callback(read_answer(std::move(response)));
+                  callback(read_response(std::move(response)));
                 });
 }
 
@@ -48,19 +48,19 @@
   if (found == methods_.end()) {
     writer->respond(
         error_response(not_run(ErrorKind::kNotFound, "no peer method at " + request.path,
-                               "run the same release on every node")));
+                               "run the same release on all nodes")));
     return;
   }
-  const std::shared_ptr<ResponseWriter> answer = std::move(writer);
-  found->second(std::move(request.body), [answer](Expected<std::string> result) {
+  const std::shared_ptr<ResponseWriter> shared_writer = std::move(writer);
+  found->second(std::move(request.body), [shared_writer](Expected<std::string> result) {
     if (!result) {
-      answer->respond(error_response(result.error()));
+      shared_writer->respond(error_response(result.error()));
       return;
     }
     HttpResponse response;
     response.headers.push_back({"Content-Type", "application/octet-stream"});
     response.body = std::move(*result);
-    answer->respond(response);
+    shared_writer->respond(response);
   });
 }
 
--- a/src/transport/http_peer_transport.h
+++ b/src/transport/http_peer_transport.h
@@ -30,7 +30,7 @@
   HttpPeerClientKnobs knobs_;
 };
 
-// Registered methods, served over HTTP. Errors travel as the usual error body.
+// Serves the registered methods over HTTP. Errors are sent as the usual error body.
 class HttpPeerServer : public PeerServer, public HttpHandler {
  public:
   void register_method(std::string method, Handler handler) override;
--- a/src/transport/peer_transport.h
+++ b/src/transport/peer_transport.h
@@ -1,4 +1,4 @@
-// Transport between chalkshed nodes: datagrams for membership, calls for everything larger.
+// Transport between chalkshed nodes: datagrams for membership, calls for larger messages.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 namespace chalkshed {
 
-// Datagrams may be lost, duplicated and reordered. At most kMaxDatagramBytes each.
+// Datagrams may be lost, duplicated and reordered. Their size is limited to kMaxDatagramBytes.
 class DatagramTransport {
  public:
   static constexpr size_t kMaxDatagramBytes = 1200;
@@ -21,17 +21,17 @@
   virtual void set_receiver(Receiver receiver) = 0;
 };
 
-// Request and response between nodes; bodies are FlatBuffers of the method's schema.
+// Sends requests to other nodes; bodies are FlatBuffers of the method's schema.
 class PeerClient {
  public:
   virtual ~PeerClient() = default;
   // @param node HTTP address of the peer.
-  // Errors: kUnavailable, kUpstreamFailed, or what the peer's handler answered.
+  // Errors: kUnavailable, kUpstreamFailed, or the error of the peer's handler.
   virtual void call(const Address& node, std::string method, std::string body,
                     Callback<std::string> callback) = 0;
 };
 
-// Serves the calls of peers. Roles register one handler for each method they own.
+// Serves the calls of peers. Components register one handler for each of their methods.
 class PeerServer {
  public:
   using Reply = Callback<std::string>;
--- a/tests/transport/peer_transport_test.cc
+++ b/tests/transport/peer_transport_test.cc
@@ -15,7 +15,7 @@
   std::optional<Expected<std::string>> call(const std::string& method, const std::string& body) {
     std::optional<Expected<std::string>> result;
     client_.call(http_server_.local(), method, body,
-                 [&](Expected<std::string> answer) { result = std::move(answer); });
+                 [&](Expected<std::string> response) { result = std::move(response); });
     EXPECT_TRUE(run_until(dispatcher_, [&] { return result.has_value(); }));
     return result;
   }
@@ -27,14 +27,14 @@
   HttpPeerClient client_{http_client_};
 };
 
-TEST_F(PeerCallTest, CarriesBinaryBodiesBothWays) {
+TEST_F(PeerCallTest, TransfersBinaryBodiesInBothDirections) {
   server_.register_method(
       "echo", [](std::string body, const PeerServer::Reply& reply) { reply(std::move(body)); });
   const std::string body("a\0b\r\n\xff", 6);
   EXPECT_EQ(call("echo", body)->value(), body);
 }
 
-TEST_F(PeerCallTest, CarriesTheHandlersError) {
+TEST_F(PeerCallTest, TransfersTheErrorOfTheHandler) {
   server_.register_method("fail", [](const std::string&, const PeerServer::Reply& reply) {
     Error error = not_run(ErrorKind::kOverloaded, "full", "wait");
     error.retry_after = std::chrono::seconds(3);
@@ -51,7 +51,7 @@
   EXPECT_EQ(call("absent", "")->error().kind, ErrorKind::kNotFound);
 }
 
-TEST(EventDatagramTransportTest, DeliversWithTheSendersAddress) {
+TEST(EventDatagramTransportTest, DeliversDatagramsWithTheAddressOfTheSender) {
   EventDispatcher dispatcher;
   EventDatagramTransport left(dispatcher, {"127.0.0.1", 0});
   EventDatagramTransport right(dispatcher, {"127.0.0.1", 0});
