--- a/src/engine/engine_client.h
+++ b/src/engine/engine_client.h
@@ -1,4 +1,4 @@
-// Client of the model engines. One implementation speaks HTTP; the simulator has its own.
+// Client interface of the model engines. Implemented over HTTP and by the simulator.
 #pragma once
 
 #include <cstdint>
@@ -15,46 +15,46 @@
 // Order in which an engine admits and keeps sequences; online preempts batch.
 enum class EnginePriority { kOnline, kBatch };
 
-// Load of one engine at a moment. Engines attach it to every answer and stream event, and report
-// it on their own with a lag.
+// Load of one engine at one time. Engines attach it to every response and stream event, and also
+// report it separately, with a delay.
 struct EngineLoad {
   uint32_t running_online = 0;  // sequences in the running set
   uint32_t running_batch = 0;
-  uint32_t waiting_online = 0;  // admitted by nobody yet
+  uint32_t waiting_online = 0;  // not yet admitted
   uint32_t waiting_batch = 0;
   uint32_t pending_prompt_tokens = 0;        // still to be prefilled, all priorities
-  uint32_t pending_batch_prompt_tokens = 0;  // the share of batch in it
+  uint32_t pending_batch_prompt_tokens = 0;  // the batch part of these
   uint32_t kv_blocks_used = 0;
   uint32_t kv_blocks_total = 0;
-  uint64_t step_number = 0;  // grows with every engine step; orders reports of one incarnation
+  uint64_t step_number = 0;  // increases with each engine step; orders reports of one incarnation
   Duration last_step_time{0};
   uint64_t incarnation = 0;
   bool leaving = false;  // the engine announces that it will stop
 };
 
 struct GenerateRequest {
-  std::string attempt_id;  // unique for every attempt; also names the request to cancel
+  std::string attempt_id;  // unique for each attempt; also identifies the request to cancel
   std::string model;
   std::string prompt;
   uint32_t max_tokens = 0;
   EnginePriority priority = EnginePriority::kOnline;
-  // Resumption: the tokens that an earlier attempt already generated. The engine continues behind
-  // them; the first token it sends has the index resumed_tokens.size().
+  // Resumption: the tokens that an earlier attempt already generated. The engine continues after
+  // them; the first token that it sends has the index resumed_tokens.size().
   std::vector<std::string> resumed_tokens;
-  // Connects anew instead of using a kept-alive connection, so that a failure to connect proves
+  // Opens a new connection instead of reusing an idle one, so that a failure to connect proves
   // that the request did not run.
   bool fresh_connection = false;
   Duration connect_timeout = std::chrono::seconds(1);
-  // The stream fails when no event arrives for this long.
+  // The stream fails if there is no event for this long.
   Duration idle_timeout = std::chrono::seconds(10);
-  // The engine ends the request by itself this long after it has received it, also when its caller
-  // is paused or cut off. Bounds the work of an owner whose lease runs out.
+  // The engine ends the request by itself this long after receiving it, even if its caller is
+  // paused or disconnected. Bounds the work of an owner whose lease has expired.
   std::optional<Duration> time_limit;
 };
 
 struct GenerateChunk {
-  uint32_t first_index = 0;         // index of tokens[0] in the whole answer
-  std::vector<std::string> tokens;  // text pieces, one a token
+  uint32_t first_index = 0;         // index of tokens[0] in the whole completion
+  std::vector<std::string> tokens;  // text pieces, one per token
   EngineLoad load;
 };
 
@@ -64,7 +64,7 @@
   FinishReason finish_reason = FinishReason::kStop;
   uint32_t prompt_tokens = 0;
   uint32_t cached_prompt_tokens = 0;
-  uint32_t completion_tokens = 0;  // resumed ones included
+  uint32_t completion_tokens = 0;  // including resumed tokens
   EngineLoad load;
 };
 
@@ -76,13 +76,13 @@
   virtual ~GenerateCallbacks() = default;
   virtual void on_chunk(const GenerateChunk& chunk) = 0;
   virtual void on_complete(const GenerateResult& result) = 0;
-  // Error kinds: kUnavailable (not run: could not connect), kOverloaded (not run: the engine
-  // refused), kDraining (not run), kUnknownModel (not run), kUpstreamFailed (may have run).
+  // Error kinds: kUnavailable (not run: could not connect), kOverloaded (not run: rejected by
+  // the engine), kDraining (not run), kUnknownModel (not run), kUpstreamFailed (may have run).
   virtual void on_error(const Error& error) = 0;
 };
 
-// A stream under way. Destroying it cancels the request on the engine and closes its connection;
-// no callback is called afterwards. It may be destroyed inside a callback.
+// A stream in progress. Destroying it cancels the request on the engine and closes its connection;
+// no callback runs afterwards. It may be destroyed inside a callback.
 class GenerateStream {
  public:
   virtual ~GenerateStream() = default;
@@ -95,7 +95,7 @@
   // @param callbacks must outlive the returned stream; not called inside this call.
   virtual GenerateStreamPtr generate(const Address& worker, GenerateRequest request,
                                      GenerateCallbacks& callbacks) = 0;
-  // Asks the engine for its load. Errors: kUnavailable, kUpstreamFailed.
+  // Requests the load of the engine. Errors: kUnavailable, kUpstreamFailed.
   virtual void fetch_load(const Address& worker, Callback<EngineLoad> callback) = 0;
 };
 
