--- a/src/adapters/engine_codec.cc
+++ b/src/adapters/engine_codec.cc
@@ -64,8 +64,9 @@
   });
 }
 
-// Reads the common form of a chunk line without a JSON parser; a node handles tens of thousands of
-// these a second. Every step fails on anything unexpected, and the JSON parser takes over.
+// Parses the usual form of a chunk line without a JSON parser, because a node handles tens of
+// thousands of these per second. Every step fails on unexpected input; the JSON parser is the
+// fallback.
 class FastLineReader {
  public:
   explicit FastLineReader(std::string_view line) : rest_(line) {}
@@ -189,7 +190,7 @@
   } catch (const json::exception& exception) {
     return tl::unexpected(not_run(ErrorKind::kInvalidRequest,
                                   std::string("malformed request: ") + exception.what(),
-                                  "send the form that the adapters' page shows"));
+                                  "use the format of the platform adapters page"));
   }
 }
 
@@ -241,7 +242,7 @@
   } catch (const json::exception& exception) {
     return tl::unexpected(maybe_run(ErrorKind::kUpstreamFailed,
                                     std::string("malformed stream line: ") + exception.what(),
-                                    "resume or resend on another worker"));
+                                    "resume or retry on another worker"));
   }
 }
 
@@ -258,7 +259,7 @@
   } catch (const json::exception& exception) {
     return tl::unexpected(maybe_run(ErrorKind::kUpstreamFailed,
                                     std::string("malformed load report: ") + exception.what(),
-                                    "check that the address is an engine's"));
+                                    "check that the address belongs to an engine"));
   }
 }
 
--- a/src/adapters/engine_codec.h
+++ b/src/adapters/engine_codec.h
@@ -1,7 +1,8 @@
-// Bodies and stream lines of the engines' HTTP interface, both directions. One JSON object a line:
+// Bodies and stream lines of the engines' HTTP interface, both directions. One JSON object per
+// line:
 //   {"first_index":0,"tokens":[" The"],"load":[...]}
 //   {"done":{"finish_reason":"stop","prompt_tokens":9,...},"load":[...]}
-// "load" lists EngineLoad's fields in their order (step time in microseconds, leaving as 0 or 1).
+// "load" lists the fields of EngineLoad in order (step time in microseconds, leaving as 0 or 1).
 #pragma once
 
 #include <string>
@@ -21,7 +22,7 @@
 std::string encode_done_line(const GenerateResult& result);
 
 using StreamLine = std::variant<GenerateChunk, GenerateResult>;
-// @param line without its '\n'. Errors: kUpstreamFailed when it is neither form.
+// @param line without its '\n'. Errors: kUpstreamFailed if it has neither form.
 Expected<StreamLine> decode_stream_line(std::string_view line);
 
 std::string encode_load(const EngineLoad& load);  // {"load":[...]}
--- a/src/adapters/error_codec.cc
+++ b/src/adapters/error_codec.cc
@@ -8,8 +8,8 @@
 
 using nlohmann::json;
 
-// Longer waits told by the other side mean nothing, and far longer ones don't fit a Duration.
-constexpr double kLongestRetryAfterMs = 24.0 * 3600 * 1000;
+// Longer delays from a remote server are not plausible, and far longer ones overflow Duration.
+constexpr double kMaxRetryAfterMs = 24.0 * 3600 * 1000;
 
 std::optional<ErrorKind> kind_of_name(std::string_view name) {
   for (int number = 0; number <= static_cast<int>(ErrorKind::kInternal); ++number) {
@@ -46,8 +46,8 @@
 
 Error decode_error(int status, std::string_view body) {
   Error error = maybe_run(ErrorKind::kUpstreamFailed,
-                          "the server answered with status " + std::to_string(status),
-                          "look into the log of the server that answered");
+                          "the server responded with status " + std::to_string(status),
+                          "check the log of that server");
   const json parsed = json::parse(body, nullptr, false);
   if (!parsed.is_object() || !parsed.contains("error") || !parsed["error"].is_object()) {
     return error;
@@ -63,7 +63,7 @@
   error.ran = text_field(fields, "ran") == ran_name(Ran::kNo) ? Ran::kNo : Ran::kUnknown;
   const auto retry_after = fields.find("retry_after_ms");
   if (retry_after != fields.end() && retry_after->is_number()) {
-    const double milliseconds = std::clamp(retry_after->get<double>(), 0.0, kLongestRetryAfterMs);
+    const double milliseconds = std::clamp(retry_after->get<double>(), 0.0, kMaxRetryAfterMs);
     error.retry_after = Duration(static_cast<int64_t>(milliseconds * 1000));
   }
   return error;
--- a/src/adapters/error_codec.h
+++ b/src/adapters/error_codec.h
@@ -1,4 +1,4 @@
-// Errors as the platform and the engines send them:
+// The error format of the platform and the engines:
 // {"error": {"kind", "message", "remedy", "ran": "no" | "unknown", "retry_after_ms"?}}.
 #pragma once
 
@@ -11,7 +11,7 @@
 namespace chalkshed {
 
 HttpResponse encode_error(const Error& error);
-// @return the error of a response whose status is not 200. A body that cannot be read gives
+// @return the error of a response whose status is not 200. A malformed body results in
 // kUpstreamFailed with Ran::kUnknown.
 Error decode_error(int status, std::string_view body);
 
--- a/src/adapters/http_engine_client.cc
+++ b/src/adapters/http_engine_client.cc
@@ -26,8 +26,7 @@
   return options;
 }
 
-// Turns the body of one call into the events of a stream. The receiver may destroy it inside any
-// event.
+// Converts the body of one call to stream events. The receiver may destroy it inside any event.
 class HttpGenerateStream : public GenerateStream, public HttpCallCallbacks {
  public:
   HttpGenerateStream(HttpClient& client, const Address& worker, const GenerateRequest& request,
@@ -67,7 +66,7 @@
       ended_ = true;
       callbacks_.on_complete(*result_);
     } else {
-      fail(broken("the engine's stream ended without its end mark"));
+      fail(broken("the engine's stream ended without an end mark"));
     }
   }
 
@@ -77,7 +76,7 @@
     }
     if (result_) {
       ended_ = true;
-      callbacks_.on_complete(*result_);  // the end mark came, so the answer is whole
+      callbacks_.on_complete(*result_);  // the end mark was received, so the completion is complete
     } else {
       fail(error);
     }
@@ -86,7 +85,7 @@
  private:
   static Error broken(std::string message) {
     return maybe_run(ErrorKind::kUpstreamFailed, std::move(message),
-                     "resume or resend on another worker");
+                     "resume or retry on another worker");
   }
 
   void fail(const Error& error) {
@@ -117,7 +116,8 @@
     }
     destroyed_ = nullptr;
     if (!ended_ && buffer_.size() > max_line_bytes_) {
-      fail(broken("the engine sent a line over " + std::to_string(max_line_bytes_) + " bytes"));
+      fail(broken("the engine sent a line of more than " + std::to_string(max_line_bytes_) +
+                  " bytes"));
     }
   }
 
@@ -130,7 +130,7 @@
     } else if (const auto* chunk = std::get_if<GenerateChunk>(&*line)) {
       callbacks_.on_chunk(*chunk);
     } else {
-      // Completion waits for the end of the body, so that the connection can be used again.
+      // Completion is deferred to the end of the body, so that the connection can be reused.
       result_ = std::get<GenerateResult>(*line);
     }
   }
@@ -140,7 +140,7 @@
   int status_ = 0;
   bool ended_ = false;
   bool* destroyed_ = nullptr;  // set while lines are handled
-  std::string buffer_;         // unfinished line, or the body of an error
+  std::string buffer_;         // incomplete line, or the body of an error response
   std::optional<GenerateResult> result_;
   HttpCallPtr call_;
 };
--- a/src/adapters/http_engine_client.h
+++ b/src/adapters/http_engine_client.h
@@ -1,4 +1,4 @@
-// Client of the engines over HTTP: POST /generate streams lines, GET /load gives the lagged load.
+// HTTP client of the engines: POST /generate streams lines, GET /load returns the delayed load.
 // Closing the connection cancels a request. See docs/operators/platform_adapters.md.
 #pragma once
 
@@ -8,7 +8,7 @@
 namespace chalkshed {
 
 struct HttpEngineClientKnobs {
-  // Limit of one stream line; a longer one breaks the stream.
+  // Limit for one stream line; a longer one fails the stream.
   size_t max_line_bytes = 1024 * 1024;
   Duration load_timeout = std::chrono::seconds(1);
 };
--- a/src/adapters/http_platform.cc
+++ b/src/adapters/http_platform.cc
@@ -8,32 +8,33 @@
 
 constexpr int kStatusOk = 200;
 
-// Whether a call that got no answer may have changed something.
+// Whether a call without a response may have changed something.
 enum class Effect { kReads, kChanges };
 
-Error no_answer(Effect effect, const Error& cause) {
+Error no_response_error(Effect effect, const Error& cause) {
   if (cause.kind == ErrorKind::kUnavailable && cause.ran == Ran::kNo) {
     return not_run(ErrorKind::kStoreUnavailable, "cannot reach the store: " + cause.message,
-                   "check the store's address and that it runs");
+                   "check the store's address and that it is running");
   }
   if (effect == Effect::kReads) {
-    return maybe_run(ErrorKind::kStoreUnavailable, "the store did not answer: " + cause.message,
-                     "read again later");
+    return maybe_run(ErrorKind::kStoreUnavailable, "the store did not respond: " + cause.message,
+                     "retry later");
   }
-  return maybe_run(ErrorKind::kOutcomeUnknown, "the store's answer was lost: " + cause.message,
-                   "read back to learn whether the change was made");
+  return maybe_run(ErrorKind::kOutcomeUnknown,
+                   "the response of the store was lost: " + cause.message,
+                   "read the rows to find out whether the change was made");
 }
 
-// An error status. One that does not tell that the change was refused leaves doubt.
-Error refused(Effect effect, const HttpResponse& response) {
+// The error for an error status. If the status does not mean a rejection, the outcome is unknown.
+Error status_error(Effect effect, const HttpResponse& response) {
   Error error = decode_error(response.status, response.body);
   if (error.kind == ErrorKind::kUpstreamFailed) {
-    return no_answer(effect, error);
+    return no_response_error(effect, error);
   }
   return error;
 }
 
-// Sends a request and gives the body of its 200 answer to `decode`.
+// Sends a request and passes the body of a 200 response to `decode`.
 template <typename Value, typename Decoder>
 void call(HttpClient& client, const Address& server, const HttpPlatformKnobs& knobs, Effect effect,
           const HttpRequest& request, Decoder decode, Callback<Value> callback) {
@@ -44,13 +45,13 @@
   client.fetch(server, request, options,
                [effect, decode, callback = std::move(callback)](Expected<HttpResponse> response) {
                  if (!response) {
-                   callback(tl::unexpected(no_answer(effect, response.error())));
+                   callback(tl::unexpected(no_response_error(effect, response.error())));
                  } else if (response->status != kStatusOk) {
-                   callback(tl::unexpected(refused(effect, *response)));
+                   callback(tl::unexpected(status_error(effect, *response)));
                  } else {
                    Expected<Value> value = decode(std::move(response->body));
                    if (!value) {
-                     value = tl::unexpected(no_answer(
+                     value = tl::unexpected(no_response_error(
                          effect, maybe_run(ErrorKind::kUpstreamFailed, value.error().message, "")));
                    }
                    callback(std::move(value));
--- a/src/adapters/http_platform.h
+++ b/src/adapters/http_platform.h
@@ -1,4 +1,4 @@
-// The platform's services over HTTP. Replace this file to speak another format; see
+// Clients of the platform's services over HTTP. Replace this file to use another format; see
 // docs/operators/platform_adapters.md.
 #pragma once
 
--- a/src/adapters/json_bytes.h
+++ b/src/adapters/json_bytes.h
@@ -1,6 +1,6 @@
-// Byte strings inside JSON. JSON text must be Unicode while rows and keys may hold any bytes, so
-// each byte is written as the Unicode character of the same number (ISO 8859-1). Plain ASCII
-// stays as it is.
+// Byte strings inside JSON. JSON text must be Unicode, but rows and keys may contain any bytes, so
+// each byte is encoded as the Unicode character with the same number (ISO 8859-1). Plain ASCII
+// is unchanged.
 #pragma once
 
 #include <string>
--- a/src/adapters/platform_codec.cc
+++ b/src/adapters/platform_codec.cc
@@ -21,7 +21,7 @@
   return json_text_to_bytes(object.at(name).get_ref<const std::string&>());
 }
 
-// Runs `read` on the parsed body; anything of a wrong form becomes an error.
+// Runs `read` on the parsed body; a body of another format results in an error.
 template <typename Value, typename Reader>
 Expected<Value> decode(std::string_view body, const char* what, Reader read) {
   try {
@@ -29,7 +29,7 @@
   } catch (const json::exception& exception) {
     return tl::unexpected(not_run(ErrorKind::kInvalidRequest,
                                   std::string("malformed ") + what + ": " + exception.what(),
-                                  "send the form that the adapters' page shows"));
+                                  "use the format of the platform adapters page"));
   }
 }
 
--- a/src/adapters/platform_codec.h
+++ b/src/adapters/platform_codec.h
@@ -1,6 +1,6 @@
 // JSON bodies of the platform's table service and machine list, both directions. The adapters and
-// the emulator share them. Decoders give kInvalidRequest (Ran::kNo) for a body that is not of the
-// form; docs/operators/platform_adapters.md shows the forms.
+// the emulator share them. Decoders return kInvalidRequest (Ran::kNo) for a malformed body. The
+// formats are specified in docs/operators/platform_adapters.md.
 #pragma once
 
 #include <string>
@@ -33,10 +33,10 @@
 std::string encode_machine_list(const MachineListSnapshot& snapshot);
 Expected<MachineListSnapshot> decode_machine_list(std::string_view body);
 
-// @return "ip:port" read back; port 0 when the text is not of that form.
+// @return the parsed "ip:port"; port 0 if the text is malformed.
 Address decode_address(std::string_view text);
 
-// Object names in URL paths: everything but letters, digits and "-._~/" as %XX.
+// Object names in URL paths: all characters except letters, digits and "-._~/" become %XX.
 std::string encode_object_path(std::string_view name);
 std::string decode_object_path(std::string_view path);
 
--- a/tests/adapters/http_engine_client_test.cc
+++ b/tests/adapters/http_engine_client_test.cc
@@ -8,7 +8,7 @@
 namespace chalkshed {
 namespace {
 
-// Lets the test play the server.
+// Lets the test act as the server.
 class ScriptedHttpClient : public HttpClient {
  public:
   HttpCallPtr send(const Address&, const HttpRequest& request, const HttpCallOptions&,
@@ -59,7 +59,7 @@
   Receiver receiver_;
 };
 
-TEST_F(HttpEngineClientTest, LinesSplitAnywhereGiveTheWholeAnswer) {
+TEST_F(HttpEngineClientTest, LinesSplitAnywhereGiveTheCompleteResponse) {
   GenerateResult result;
   result.completion_tokens = 3;
   const std::string body = chunk_line(0, " one") + chunk_line(1, " \"two\"\n") +
@@ -75,7 +75,7 @@
   EXPECT_EQ(receiver_.result->completion_tokens, 3U);
 }
 
-TEST_F(HttpEngineClientTest, StreamWithoutTheEndMarkIsNeverAnAnswer) {
+TEST_F(HttpEngineClientTest, StreamWithoutTheEndMarkIsAnError) {
   http_.server->on_headers(200, {});
   http_.server->on_body(chunk_line(0, " one"));
   http_.server->on_end();
@@ -85,7 +85,7 @@
   EXPECT_EQ(receiver_.error->ran, Ran::kUnknown);
 }
 
-TEST_F(HttpEngineClientTest, RefusalKeepsItsKindAndThatItDidNotRun) {
+TEST_F(HttpEngineClientTest, RejectionKeepsItsKindAndRanState) {
   const HttpResponse refusal =
       encode_error(not_run(ErrorKind::kOverloaded, "full", "use another worker"));
   http_.server->on_headers(refusal.status, {});
@@ -96,7 +96,7 @@
   EXPECT_EQ(receiver_.error->ran, Ran::kNo);
 }
 
-TEST_F(HttpEngineClientTest, UnreadableErrorMayHaveRun) {
+TEST_F(HttpEngineClientTest, MalformedErrorMayHaveRun) {
   http_.server->on_headers(503, {});
   http_.server->on_body("<html>");
   http_.server->on_end();
@@ -111,14 +111,14 @@
   EXPECT_FALSE(receiver_.error);
 }
 
-TEST_F(HttpEngineClientTest, MalformedLineBreaksTheStream) {
+TEST_F(HttpEngineClientTest, MalformedLineFailsTheStream) {
   http_.server->on_headers(200, {});
   http_.server->on_body("{\"first_index\":0,\"tokens\":[\n" + chunk_line(0, " one"));
   ASSERT_TRUE(receiver_.error);
   EXPECT_TRUE(receiver_.text.empty());
 }
 
-TEST(EngineCodecTest, LoadSurvivesTheRoundTrip) {
+TEST(EngineCodecTest, LoadIsUnchangedByARoundTrip) {
   EngineLoad load;
   load.running_online = 1;
   load.pending_batch_prompt_tokens = 6;
--- a/tests/adapters/http_platform_test.cc
+++ b/tests/adapters/http_platform_test.cc
@@ -8,7 +8,7 @@
 namespace chalkshed {
 namespace {
 
-// Answers every call with one prepared response.
+// Completes every call with one prepared response.
 class PreparedHttpClient : public HttpClient {
  public:
   HttpCallPtr send(const Address&, const HttpRequest&, const HttpCallOptions&,
@@ -40,7 +40,7 @@
   HttpTableStore store_{client_, {}};
 };
 
-TEST_F(HttpTableStoreTest, LostAnswerOfACommitLeavesDoubt) {
+TEST_F(HttpTableStoreTest, LostResponseToACommitIsAnUnknownOutcome) {
   const auto lost = tl::unexpected(maybe_run(ErrorKind::kUpstreamFailed, "closed", ""));
   const auto result = commit(lost);
   EXPECT_EQ(result->error().kind, ErrorKind::kOutcomeUnknown);
@@ -53,7 +53,7 @@
   EXPECT_EQ(result->error().ran, Ran::kNo);
 }
 
-TEST_F(HttpTableStoreTest, UnreadableAnswersLeaveDoubt) {
+TEST_F(HttpTableStoreTest, MalformedResponsesAreAnUnknownOutcome) {
   HttpResponse garbled;
   garbled.body = "{\"committed\":tr";
   EXPECT_EQ(commit(garbled)->error().kind, ErrorKind::kOutcomeUnknown);
@@ -69,7 +69,7 @@
   EXPECT_EQ(result->error().retry_after, std::chrono::milliseconds(35));
 }
 
-TEST(PlatformCodecTest, AnyBytesSurvive) {
+TEST(PlatformCodecTest, AnyBytesAreUnchangedByARoundTrip) {
   std::string bytes;
   for (int byte = 0; byte < 256; ++byte) {
     bytes.push_back(static_cast<char>(byte));
@@ -86,7 +86,7 @@
   EXPECT_EQ(decode_object_path(encode_object_path(bytes)), bytes);
 }
 
-TEST(PlatformCodecTest, MachinesSurvive) {
+TEST(PlatformCodecTest, MachinesAreUnchangedByARoundTrip) {
   Machine machine;
   machine.id = "w1";
   machine.role = MachineRole::kWorker;
