--- a/src/openai/completion.h
+++ b/src/openai/completion.h
@@ -1,5 +1,5 @@
-// The OpenAI completions API: reading of requests and writing of answers. Pure functions; the
-// gateway and the batch runner share them.
+// The OpenAI completions API: parsing of requests and formatting of responses. Pure functions, used
+// by the gateway and the batch runner.
 #pragma once
 
 #include <cstdint>
@@ -20,9 +20,9 @@
 inline constexpr std::string_view kTextCompletionPath = "/v1/completions";
 inline constexpr std::string_view kChatCompletionPath = "/v1/chat/completions";
 
-// Tokens generated at most when the caller sets no limit.
+// Limit for generated tokens if the caller sets none.
 inline constexpr uint32_t kDefaultMaxTokens = 256;
-// Largest limit that a caller may set.
+// Maximum limit that a caller may set.
 inline constexpr uint32_t kLargestMaxTokens = 131072;
 
 struct CompletionRequest {
@@ -32,23 +32,23 @@
   uint32_t prompt_tokens = 0;  // estimate, see estimate_tokens()
   uint32_t max_tokens = kDefaultMaxTokens;
   bool stream = false;
-  bool include_usage = false;  // streams only: send the usage in a last chunk
+  bool include_usage = false;  // streams only: send the usage in the last chunk
 };
 
-// Reads the body of a completion request. Fields that are unknown or only steer sampling are
-// ignored; fields that would change the shape of the answer and are not supported are refused.
+// Parses the body of a completion request. Unknown fields and sampling parameters are ignored;
+// unsupported fields that would change the format of the response are rejected.
 // @param url_path kTextCompletionPath or kChatCompletionPath.
 // Errors, all Ran::kNo: kInvalidRequest (the message names the field), kNotFound (other path).
 Expected<CompletionRequest> parse_completion_request(std::string_view url_path,
                                                      std::string_view body);
 
-// Rough number of tokens of a text, for admission and routing; engines report the true number.
+// Estimated number of tokens of a text, for admission and routing; engines report the exact number.
 uint32_t estimate_tokens(std::string_view text);
 
-// What all parts of one answer have in common.
+// The fields that all parts of one response share.
 struct CompletionIdentity {
   CompletionApi api = CompletionApi::kText;
-  std::string request_id;  // the answer's id is this with the API's customary prefix
+  std::string request_id;  // the response id is this with the usual prefix of the API
   std::string model;
   int64_t created_seconds = 0;  // Unix time
 };
@@ -59,17 +59,17 @@
   uint32_t completion_tokens = 0;
 };
 
-// JSON body of a whole answer.
+// JSON body of a complete response.
 std::string format_completion(const CompletionIdentity& identity, std::string_view text,
                               FinishReason finish_reason, const CompletionUsage& usage);
 
-// JSON body of GET /v1/models. @param models names, in the order in which they are listed.
+// JSON body of GET /v1/models. @param models the names, in the order of the listing.
 std::string format_models(const std::vector<std::string>& models, int64_t created_seconds);
 
 // JSON body of GET /v1/models/{name}.
 std::string format_model(std::string_view model, int64_t created_seconds);
 
-// Writes the server-sent events of one streamed answer.
+// Formats the server-sent events of one streamed response.
 class CompletionStreamFormatter {
  public:
   CompletionStreamFormatter(const CompletionIdentity& identity, bool include_usage);
@@ -77,9 +77,9 @@
   // Opening event of a chat stream (the assistant's role); empty for text completions.
   std::string opening() const;
   std::string text(std::string_view piece) const;
-  // Event with the finish reason, the usage event where asked for, and the [DONE] mark.
+  // Event with the finish reason, the usage event if requested, and the [DONE] mark.
   std::string closing(FinishReason finish_reason, const CompletionUsage& usage) const;
-  // Event that ends a failed stream. No [DONE] follows it, so clients raise an error.
+  // Event that ends a failed stream. It is not followed by [DONE], so clients raise an error.
   static std::string failure(const Error& error);
 
  private:
@@ -87,7 +87,7 @@
 
   CompletionApi api_;
   bool include_usage_;
-  std::string head_;  // everything of a chunk up to its list of choices
+  std::string head_;  // the beginning of a chunk, up to its list of choices
 };
 
 }  // namespace chalkshed
--- a/src/openai/completion_formatter.cc
+++ b/src/openai/completion_formatter.cc
@@ -10,7 +10,7 @@
 
 constexpr std::string_view kDoneEvent = "data: [DONE]\n\n";
 
-// Text that came from outside may hold broken UTF-8; it is replaced rather than thrown on.
+// Text from external sources may contain invalid UTF-8, which is replaced instead of throwing.
 std::string to_text(const Json& value) {
   return value.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
@@ -21,7 +21,7 @@
   return reason == FinishReason::kStop ? "stop" : "length";
 }
 
-std::string answer_id(const CompletionIdentity& identity) {
+std::string response_id(const CompletionIdentity& identity) {
   const char* prefix = identity.api == CompletionApi::kChat ? "chatcmpl-" : "cmpl-";
   return prefix + identity.request_id;
 }
@@ -81,7 +81,7 @@
   const bool chat = identity.api == CompletionApi::kChat;
   Json choices = Json::array();
   choices.push_back(choice_json(identity.api, text, finish_reason));
-  const Json body = {{"id", answer_id(identity)},
+  const Json body = {{"id", response_id(identity)},
                      {"object", chat ? "chat.completion" : "text_completion"},
                      {"created", identity.created_seconds},
                      {"model", identity.model},
@@ -107,7 +107,7 @@
                                                      bool include_usage)
     : api_(identity.api), include_usage_(include_usage) {
   const bool chat = api_ == CompletionApi::kChat;
-  head_ = R"({"id":)" + json_string(answer_id(identity)) + R"(,"object":)" +
+  head_ = R"({"id":)" + json_string(response_id(identity)) + R"(,"object":)" +
           (chat ? R"("chat.completion.chunk")" : R"("text_completion")") + R"(,"created":)" +
           std::to_string(identity.created_seconds) + R"(,"model":)" + json_string(identity.model);
 }
@@ -117,7 +117,7 @@
   json += R"(,"choices":[)";
   json += choice;
   json += ']';
-  // Clients that asked for the usage expect the field in every chunk.
+  // Clients that request the usage expect the field in every chunk.
   json += include_usage_ ? R"(,"usage":null})" : "}";
   return data_event(json);
 }
--- a/src/openai/completion_parser.cc
+++ b/src/openai/completion_parser.cc
@@ -19,8 +19,8 @@
                  "send '" + field + "' as " + expected);
 }
 
-// @return where and why the text is not valid JSON.
-std::string describe_json_fault(std::string_view text) {
+// @return the position and cause of the JSON syntax error.
+std::string describe_json_error(std::string_view text) {
   try {
     const Json parsed = Json::parse(text);
     return "";
@@ -31,7 +31,7 @@
   }
 }
 
-// Null stands for absent, as OpenAI clients send it.
+// Null counts as absent, because OpenAI clients send it that way.
 const Json* find_field(const Json& object, const char* name) {
   const auto found = object.find(name);
   return found == object.end() || found->is_null() ? nullptr : &*found;
@@ -73,7 +73,7 @@
     return kDefaultMaxTokens;
   }
   if (!value->is_number_integer()) {
-    return wrong_type(name, "a whole number", *value);
+    return wrong_type(name, "an integer", *value);
   }
   const bool negative = !value->is_number_unsigned() && value->get<int64_t>() < 1;
   const bool in_range =
@@ -86,7 +86,7 @@
   return value->get<uint32_t>();
 }
 
-// Fields of which only the value that means "one plain text answer" is supported.
+// Rejects values of these fields other than those that mean a single plain text response.
 std::optional<Error> find_unsupported(const Json& root) {
   for (const char* name : {"n", "best_of"}) {
     const Json* value = find_field(root, name);
@@ -99,8 +99,8 @@
     if (*value != 1) {
       return not_run(ErrorKind::kInvalidRequest,
                      "field '" + std::string(name) + "' is " + value->dump() +
-                         "; only one answer a request is supported",
-                     "leave '" + std::string(name) + "' out and send one request for each answer");
+                         "; only one choice per request is supported",
+                     "leave '" + std::string(name) + "' out and send one request for each choice");
     }
   }
   for (const char* name : {"echo", "logprobs"}) {
@@ -116,7 +116,7 @@
     if (value != nullptr && !value->empty()) {
       return not_run(ErrorKind::kInvalidRequest,
                      "field '" + std::string(name) + "' is not supported",
-                     "leave '" + std::string(name) + "' out; models answer with text only");
+                     "leave '" + std::string(name) + "' out; models generate text only");
     }
   }
   return std::nullopt;
@@ -134,7 +134,7 @@
     return prompt->front().get<std::string>();
   }
   if (prompt->is_array()) {
-    return invalid("field 'prompt' must hold exactly one text",
+    return invalid("field 'prompt' must contain exactly one text",
                    "send one request for each prompt, as a string; lists of token numbers are "
                    "not supported");
   }
@@ -282,7 +282,7 @@
   }
   const Json root = Json::parse(body, nullptr, false);
   if (root.is_discarded()) {
-    return invalid("the body is not valid JSON" + describe_json_fault(body),
+    return invalid("the body is not valid JSON" + describe_json_error(body),
                    "send a JSON object in UTF-8");
   }
   if (!root.is_object()) {
--- a/tests/openai/completion_formatter_test.cc
+++ b/tests/openai/completion_formatter_test.cc
@@ -12,7 +12,7 @@
 const CompletionIdentity kChatIdentity = {CompletionApi::kChat, "r1", "m\"odel", 1700000000};
 const CompletionIdentity kTextIdentity = {CompletionApi::kText, "r1", "model", 1700000000};
 
-// The JSON values of the events; the [DONE] mark stays a string.
+// @return the JSON values of the events; the [DONE] mark is returned as a string.
 std::vector<Json> read_events(std::string_view stream) {
   std::vector<Json> events;
   while (!stream.empty()) {
@@ -25,7 +25,7 @@
   return events;
 }
 
-TEST(CompletionFormatterTest, WholeChatAnswerHasWhatClientsRead) {
+TEST(CompletionFormatterTest, ChatResponseHasTheFieldsThatClientsRead) {
   const Json body = Json::parse(
       format_completion(kChatIdentity, "hi \"there\"", FinishReason::kLength, {5, 2, 3}));
   EXPECT_EQ(body["id"], "chatcmpl-r1");
@@ -52,7 +52,7 @@
   EXPECT_EQ(events[4], "[DONE]");
 }
 
-TEST(CompletionFormatterTest, TextStreamHasNoUsageUnlessAsked) {
+TEST(CompletionFormatterTest, TextStreamHasNoUsageUnlessRequested) {
   const CompletionStreamFormatter formatter(kTextIdentity, false);
   const auto events = read_events(formatter.opening() + formatter.text("x") +
                                   formatter.closing(FinishReason::kLength, {}));
@@ -70,7 +70,7 @@
   EXPECT_EQ(events[0]["error"]["ran"], "unknown");
 }
 
-TEST(CompletionFormatterTest, BrokenUtf8IsReplaced) {
+TEST(CompletionFormatterTest, InvalidUtf8IsReplaced) {
   const std::string text = format_completion(kTextIdentity, "\xff", FinishReason::kStop, {});
   EXPECT_TRUE(Json::accept(text)) << text;
 }
--- a/tests/openai/completion_parser_test.cc
+++ b/tests/openai/completion_parser_test.cc
@@ -16,7 +16,7 @@
   return parse_completion_request(kTextCompletionPath, body);
 }
 
-TEST(CompletionParserTest, ReadsChatMessagesWithStringsAndParts) {
+TEST(CompletionParserTest, ParsesChatMessagesWithStringsAndParts) {
   const auto request = parse_chat(R"({"model":"m","stream":true,"max_completion_tokens":7,
       "stream_options":{"include_usage":true},"temperature":0.2,"user":"x",
       "messages":[{"role":"system","content":"be brief"},
@@ -29,7 +29,7 @@
   EXPECT_EQ(request->prompt_tokens, estimate_tokens(request->prompt));
 }
 
-TEST(CompletionParserTest, TakesNullForAbsent) {
+TEST(CompletionParserTest, NullCountsAsAbsent) {
   const auto request =
       parse_text(R"({"model":"m","prompt":["one"],"max_tokens":null,"stream":null,"n":1})");
   ASSERT_TRUE(request);
@@ -40,18 +40,18 @@
 struct BadBody {
   std::string_view path;
   const char* body;
-  const char* named;  // what the message must name
+  const char* mentioned;  // text that the message must contain
 };
 
 class BadBodyTest : public testing::TestWithParam<BadBody> {};
 
-TEST_P(BadBodyTest, IsRefusedNamingTheField) {
+TEST_P(BadBodyTest, IsRejectedWithTheNameOfTheField) {
   const auto request = parse_completion_request(GetParam().path, GetParam().body);
   ASSERT_FALSE(request);
   EXPECT_EQ(request.error().kind, ErrorKind::kInvalidRequest);
   EXPECT_EQ(request.error().ran, Ran::kNo);
   EXPECT_FALSE(request.error().remedy.empty());
-  EXPECT_NE(request.error().message.find(GetParam().named), std::string::npos)
+  EXPECT_NE(request.error().message.find(GetParam().mentioned), std::string::npos)
       << request.error().message;
 }
 
@@ -105,8 +105,8 @@
   RC_ASSERT(request.error().kind == ErrorKind::kInvalidRequest);
 }
 
-// Takes a valid body and damages it: cuts it, or puts another value in one place.
-RC_GTEST_PROP(CompletionParserProperty, DamagedBodyIsReadOrRefusedButNeverThrows, ()) {
+// Corrupts a valid body: truncates it, or replaces one value.
+RC_GTEST_PROP(CompletionParserProperty, CorruptBodyIsParsedOrRejectedButNeverThrows, ()) {
   const std::string valid =
       R"({"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"}]}],)"
       R"("max_tokens":5,"stream":true,"stream_options":{"include_usage":false},"n":1})";
