--- a/src/membership/shared_machine_list.cc
+++ b/src/membership/shared_machine_list.cc
@@ -19,7 +19,7 @@
     : dependencies_(dependencies),
       knobs_(knobs),
       reads_(dependencies.metrics.counter("chalkshed_machine_list_readings_total",
-                                          "Reads of the platform's machine list", {})) {}
+                                          "Readings of the platform's machine list", {})) {}
 
 void SharedMachineList::attach(Gossip& gossip) {
   gossip_ = &gossip;
--- a/src/membership/traffic.cc
+++ b/src/membership/traffic.cc
@@ -29,9 +29,8 @@
   }
   dropped_ = &metrics.counter("chalkshed_membership_dropped_datagrams_total",
                               "Membership datagrams that were malformed or damaged", {});
-  refused_ = &metrics.counter(
-      "chalkshed_gossip_refused_entries_total",
-      "Gossip entries refused because they are too large or the store is full", {});
+  refused_ = &metrics.counter("chalkshed_gossip_refused_entries_total",
+                              "Gossip entries refused for their size or a full store", {});
 }
 
 void TrafficRecorder::sent(DatagramKind kind, size_t bytes) {
