--- a/src/http/http_server.cc
+++ b/src/http/http_server.cc
@@ -49,8 +49,7 @@
 
 // One request and its response. Shared by the server and the writer; either may be destroyed first.
 struct Exchange {
-  evhttp_request* request =
-      nullptr;  // null once the response has ended or the connection is closed
+  evhttp_request* request = nullptr;  // null once the response or the connection has ended
   evhttp_connection* connection = nullptr;
   evbuffer* output = nullptr;
   std::function<void()> on_closed;
@@ -104,8 +103,7 @@
   std::unordered_map<evhttp_connection*, ExchangePtr> exchanges_;
   // Connections whose responses have ended but are not fully sent.
   std::unordered_set<const evhttp_connection*> flushing_;
-  std::shared_ptr<Implementation*>
-      self_;  // points to null after destruction; checked by the writers
+  std::shared_ptr<Implementation*> self_;  // points to null after destruction
 };
 
 class HttpServer::Implementation::Writer : public ResponseWriter {
--- a/src/membership/membership_knobs.h
+++ b/src/membership/membership_knobs.h
@@ -29,18 +29,15 @@
   // Failure detection. Probes alternate between the next member in ring order, which bounds the
   // time until each member is probed, and a shuffled round over all members.
   Duration probe_interval = std::chrono::milliseconds(300);
-  Duration ack_timeout = std::chrono::milliseconds(300);    // then other members are asked to probe
+  Duration ack_timeout = std::chrono::milliseconds(300);    // then others are asked to probe
   Duration probe_timeout = std::chrono::milliseconds(900);  // then the member is suspected
   uint32_t indirect_probes = 3;
-  Duration suspicion_timeout =
-      std::chrono::milliseconds(2000);  // at the node that raised the suspicion
+  Duration suspicion_timeout = std::chrono::milliseconds(2000);  // at the node that raised it
   // Added at nodes that received the suspicion by gossip. They declare the death if the node that
   // raised it is gone.
   Duration suspicion_backup = std::chrono::milliseconds(1000);
-  uint32_t max_local_health =
-      3;  // timeouts grow up to 1 + this times while the local health is bad
-  Duration stall_threshold =
-      std::chrono::seconds(1);  // a tick that is later than this counts as a stall
+  uint32_t max_local_health = 3;  // timeouts grow up to 1 + this times while the health is bad
+  Duration stall_threshold = std::chrono::seconds(1);  // a later tick counts as a stall
 
   // Rumours: updates of members and gossip entries.
   Duration gossip_interval = std::chrono::milliseconds(200);
@@ -58,8 +55,7 @@
 
   // Anti-entropy: probes carry digests; a difference that persists for this long starts a sync.
   Duration sync_delay = std::chrono::seconds(2);
-  Duration sync_interval =
-      std::chrono::seconds(3);  // minimum time between syncs that a node starts
+  Duration sync_interval = std::chrono::seconds(3);  // minimum time between syncs of a node
   Duration join_interval = std::chrono::milliseconds(500);
   uint32_t join_candidates = 2;
   // A starting node that gets no response counts as caught up after this time.
--- a/src/membership/traffic.h
+++ b/src/membership/traffic.h
@@ -14,8 +14,7 @@
 
 struct KindTraffic {
   uint64_t messages_sent = 0;
-  uint64_t bytes_sent =
-      0;  // payload only; add kDatagramOverheadBytes per message for bytes on the wire
+  uint64_t bytes_sent = 0;  // payload; add kDatagramOverheadBytes per message for the wire
   uint64_t messages_received = 0;
   uint64_t bytes_received = 0;
 };
--- a/src/node/serving_node.cc
+++ b/src/node/serving_node.cc
@@ -147,8 +147,8 @@
   worker_table_.set_on_regained([this] { refresh_watchers(route_table_); });
 }
 
-// A single node of the fleet retries quarantined contents and removes the rows of contents that are
-// no longer quarantined.
+// For each content, a single node retries it while it is quarantined and removes its row
+// afterwards.
 void ServingNode::connect_quarantine() {
   const auto is_first = [this](uint64_t digest) { return peers_.rank(digest_text(digest)) == 0; };
   quarantine_.set_tries(is_first);
--- a/src/node/serving_node.h
+++ b/src/node/serving_node.h
@@ -136,7 +136,7 @@
   // Serves requests of operators; must not be reachable for callers.
   HttpHandler& operator_handler() { return quarantine_api_; }
   SessionView& peers() { return peers_; }
-  // Whether this node learns of loads and workers from relays instead of from all its peers.
+  // Whether this node receives loads and worker rows from relays instead of from all its peers.
   bool is_relay_member() const { return peers_.is_relay_member(); }
 
  private:
--- a/tests/http/framing_test.cc
+++ b/tests/http/framing_test.cc
@@ -16,8 +16,7 @@
 // is the one sent after the body, or the connection is closed.
 TEST_P(HiddenRequestTest, BodyIsNotParsedAsARequest) {
   HttpServerKnobs knobs;
-  knobs.idle_timeout =
-      std::chrono::milliseconds(200);  // CONNECT gets no response; its connection is closed
+  knobs.idle_timeout = std::chrono::milliseconds(200);  // CONNECT gets no response, only a close
   serve(knobs);
   const std::string hidden = "GET /hidden HTTP/1.1\r\nHost: x\r\n\r\n";
   RawCaller caller(dispatcher_, server_->local());
--- a/tests/membership/scale_test.cc
+++ b/tests/membership/scale_test.cc
@@ -14,9 +14,8 @@
 constexpr uint64_t kSeed = 360;
 constexpr size_t kNodes = 360;
 constexpr size_t kRegions = 8;
-constexpr double kIdleBytesPerSecond = 2000;  // sent and received, headers included
-constexpr double kStormBytesPerSecond =
-    7000;  // the whole control traffic budget, averaged over the settling time
+constexpr double kIdleBytesPerSecond = 2000;   // sent and received, headers included
+constexpr double kStormBytesPerSecond = 7000;  // the whole control budget, over the settling time
 
 uint64_t wire_bytes(const KindTraffic& traffic) {
   const uint64_t messages = traffic.messages_sent + traffic.messages_received;
