--- a/src/node/serving_node.cc
+++ b/src/node/serving_node.cc
@@ -93,8 +93,8 @@
           tables.worker_table, worker_table_, [this] { return worker_copy_source(); },
           [this] { return peers_.zone_peers(); }, knobs.workers_copy) {
   job_environment_.view_age = [this] { return job_table_.age(); };
-  workers_.set_on_place_freed([this] { schedule_placement(); });
-  gateway_.set_on_short_of_places([this](size_t count) { jobs_.preempt_items(count); });
+  workers_.set_on_slot_freed([this] { schedule_placement(); });
+  gateway_.set_on_slot_shortage([this](size_t count) { jobs_.preempt_items(count); });
   workers_.set_on_load_changed([this] { peers_.load_changed(); });
   jobs_.set_on_queue_changed([this] { peers_.load_changed(); });
   jobs_.set_on_ownership_changed([this] { update_job_pace(); });
@@ -151,8 +151,8 @@
 // afterwards.
 void ServingNode::connect_quarantine() {
   const auto is_first = [this](uint64_t digest) { return peers_.rank(digest_text(digest)) == 0; };
-  quarantine_.set_tries(is_first);
-  quarantine_rows_.set_removes(is_first);
+  quarantine_.set_may_probe(is_first);
+  quarantine_rows_.set_is_remover(is_first);
   quarantine_.set_view_age([this] { return worker_table_.age(); });
   quarantine_.set_turns(
       {[this](uint64_t digest, MonotonicTime not_before) {
@@ -161,7 +161,7 @@
        [this](uint64_t digest) { run_turns_.note_running(digest); },
        // Guarded: requests in progress are destroyed with this node, after run_turns_.
        lifetime_.guard([this](uint64_t digest, MonotonicTime not_before) {
-         run_turns_.note_over(digest, not_before);
+         run_turns_.note_finished(digest, not_before);
        })});
   quarantine_.set_on_permits_changed([this] { schedule_placement(); });
   run_turns_.set_not_before(
@@ -257,7 +257,7 @@
 
 // Requests that end during destruction free their slots, and nothing may be placed into them.
 ServingNode::~ServingNode() {
-  workers_.set_on_place_freed(nullptr);
+  workers_.set_on_slot_freed(nullptr);
   workers_.set_on_load_changed(nullptr);
 }
 
@@ -282,7 +282,7 @@
   }
   dependencies_.dispatcher.post(lifetime_.guard([this] {
     placement_scheduled_ = false;
-    gateway_.place_waiting();
+    gateway_.dispatch_waiting();
     jobs_.start_items();
   }));
 }
--- a/tests/node/key_age_test.cc
+++ b/tests/node/key_age_test.cc
@@ -2,7 +2,7 @@
 // the revocation. Guards against counting any response of the store as a confirmation of the keys.
 #include <gtest/gtest.h>
 
-#include "tests/serving/partly_deaf_node.h"
+#include "tests/serving/changes_blocked_node.h"
 
 namespace chalkshed {
 namespace {
@@ -19,7 +19,7 @@
   with_keys(2, {"k1", "k2"});
   ServingNodeKnobs knobs;
   knobs.max_unconfirmed_time = seconds(4);
-  PartlyDeafNode node(cluster, "n8", knobs);
+  ChangesBlockedNode node(cluster, "n8", knobs);
   cluster.clock.run_for(seconds(1));
   const auto allowed = [&](const std::string& key) {
     const RouteTablePtr table = node.node.routes();
@@ -27,7 +27,7 @@
         .has_value();
   };
   ASSERT_TRUE(allowed("k1"));
-  node.store.deaf = true;
+  node.store.block_changes = true;
   with_keys(3, {"k2"});
   for (int second = 0; second < 20; ++second) {
     cluster.clock.run_for(seconds(1));
