--- a/src/node/serving_node.cc
+++ b/src/node/serving_node.cc
@@ -139,8 +139,8 @@
   worker_table_.set_on_missed([this](StoreVersion version) { worker_handover_.request(version); });
   // Without this, many nodes that start at the same moment would not accept each other's datagrams
   // until the watch has collected their announcements, which takes a second and a half.
-  peers_.set_on_unknown_session([this] { node_table_.hurry(); });
-  quota_exchange_.set_on_unknown_session([this] { node_table_.hurry(); });
+  peers_.set_on_unknown_session([this] { node_table_.poll_now(); });
+  quota_exchange_.set_on_unknown_session([this] { node_table_.poll_now(); });
   peers_.set_on_role_changed([this] { update_watch_paces(); });
   // The long polls of the other tables may have been lost together with the short ones.
   route_table_.set_on_regained([this] { refresh_watchers(worker_table_); });
@@ -217,21 +217,20 @@
   WatchPace configuration = member ? watch.member_configuration : watch.configuration;
   if (knobs_.max_unconfirmed_time) {
     // A lost poll and its retry have to fit into the time for which unconfirmed keys are accepted.
-    configuration.longest_wait =
-        std::min(configuration.longest_wait, *knobs_.max_unconfirmed_time / 2);
+    configuration.max_wait = std::min(configuration.max_wait, *knobs_.max_unconfirmed_time / 2);
   }
   route_table_.set_pace(configuration);
   // A member that has just started will receive a relay's digest soon. If all nodes start together,
   // the workers do as well, and each of their rows was sent from the store to each node: 3 GB for
   // 1,000 nodes and 10,000 workers.
-  const bool starts =
-      member && dependencies_.time_source.monotonic_now() - started_ < watch.relayed_workers.gather;
+  const bool starts = member && dependencies_.time_source.monotonic_now() - started_ <
+                                    watch.relayed_workers.batch_delay;
   worker_table_.set_pace(peers_.hears_informed_relay() || starts ? watch.relayed_workers
                          : member                                ? watch.member_workers
                                                                  : watch.workers);
   node_table_.set_pace(peers_.relayed() ? watch.member_jobs : watch.jobs);
   update_job_pace();
-  peers_.set_store_wait(configuration.longest_wait - watch.configuration.longest_wait);
+  peers_.set_store_wait(configuration.max_wait - watch.configuration.max_wait);
 }
 
 void ServingNode::update_job_pace() {
@@ -241,9 +240,9 @@
     // A view is as old as the poll that returned it: at most one pause and two long polls, together
     // nine tenths of the age beyond which an owner starts no items. The last tenth is left for the
     // response to arrive.
-    const Duration max_step = knobs_.jobs.longest_view_age * 3 / 10;
-    pace.longest_wait = std::min(pace.longest_wait, max_step);
-    pace.gather = std::min(pace.gather, max_step);
+    const Duration max_step = knobs_.jobs.max_view_age * 3 / 10;
+    pace.max_wait = std::min(pace.max_wait, max_step);
+    pace.batch_delay = std::min(pace.batch_delay, max_step);
   }
   job_table_.set_pace(pace);
 }
@@ -263,7 +262,7 @@
 
 void ServingNode::start() {
   started_ = dependencies_.time_source.monotonic_now();
-  call_after(dependencies_.dispatcher, knobs_.watch.relayed_workers.gather,
+  call_after(dependencies_.dispatcher, knobs_.watch.relayed_workers.batch_delay,
              lifetime_.guard([this] { update_watch_paces(); }));
   route_table_.start();
   workers_copy_.start();
--- a/src/node/serving_node.h
+++ b/src/node/serving_node.h
@@ -56,25 +56,26 @@
 struct WatchKnobs {
   // The configuration watch is also how a node detects that it has lost the store: its long poll is
   // never held for longer than this.
-  WatchPace configuration{.longest_wait = std::chrono::milliseconds(1500)};
-  WatchPace workers{.longest_wait = std::chrono::milliseconds(1500)};
+  WatchPace configuration{.max_wait = std::chrono::milliseconds(1500)};
+  WatchPace workers{.max_wait = std::chrono::milliseconds(1500)};
   // Jobs and nodes change more often, and their changes may arrive a little later.
-  WatchPace jobs{.longest_wait = std::chrono::seconds(5), .gather = std::chrono::milliseconds(150)};
+  WatchPace jobs{.max_wait = std::chrono::seconds(5),
+                 .batch_delay = std::chrono::milliseconds(150)};
   // Quarantined contents change rarely, and peers announce them at once.
-  WatchPace quarantine{.longest_wait = std::chrono::seconds(30)};
+  WatchPace quarantine{.max_wait = std::chrono::seconds(30)};
   // While this node is one of many that learn of changes from a relay: bounds the time for which a
   // lost poll goes unnoticed. A job that was ended must start no items after three seconds.
-  WatchPace member_configuration{.longest_wait = std::chrono::seconds(3)};
+  WatchPace member_configuration{.max_wait = std::chrono::seconds(3)};
   // Some worker's row changes every second. A leaving worker may get new work for two seconds.
-  WatchPace member_workers{.longest_wait = std::chrono::seconds(10),
-                           .gather = std::chrono::seconds(1)};
+  WatchPace member_workers{.max_wait = std::chrono::seconds(10),
+                           .batch_delay = std::chrono::seconds(1)};
   // While a relay announces changes. Without a relay, or once the relay has lost the store, the
   // pace above applies again within two seconds.
-  WatchPace relayed_workers{.longest_wait = std::chrono::seconds(10),
-                            .gather = std::chrono::seconds(5),
+  WatchPace relayed_workers{.max_wait = std::chrono::seconds(10),
+                            .batch_delay = std::chrono::seconds(5),
                             .from_peers = true};
-  WatchPace member_jobs{.longest_wait = std::chrono::seconds(10),
-                        .gather = std::chrono::milliseconds(1500)};
+  WatchPace member_jobs{.max_wait = std::chrono::seconds(10),
+                        .batch_delay = std::chrono::milliseconds(1500)};
 };
 
 struct ServingNodeKnobs {
