--- a/include/chalkshed/item_scheduler.h
+++ b/include/chalkshed/item_scheduler.h
@@ -2,9 +2,9 @@
 #define CHALKSHED_ITEM_SCHEDULER_H
 
 /** \file
- * Which items of this node's jobs run now: starts those that are due first while there is room, and
- * stops runs where online work needs their places. Who owns which job is decided elsewhere
- * (JobService). */
+ * Schedules the batch items of the jobs that this node owns: starts the most urgent ones while
+ * workers have free slots, and preempts runs whose slots online requests need. JobService decides
+ * which node owns which job. */
 
 #include <functional>
 #include <map>
@@ -19,31 +19,31 @@
 
 class item_scheduler {
 public:
-    /** \param may_start Whether batch may take a place at all: no online request waits for one.
-     * All references outlive this. */
+    /** \param may_start Whether batch items may take slots: no online request is waiting for one.
+     * All references must outlive the scheduler. */
     item_scheduler(JobEnvironment &environment, SessionView &sessions, const owned_job_map &owned,
                    std::function<bool()> may_start);
 
     void start();
-    /** Starts nothing from now on; what runs goes on. */
+    /** Starts no further items; running items continue. */
     void stop_starting() {
         stopped_ = true;
     }
-    /** Starts items that wait, as far as there is room. */
+    /** Starts waiting items while workers have free slots. */
     void start_items();
-    /** Stops up to `count` runs: online requests wait for their places. */
+    /** Preempts up to `count` runs for online requests that wait for their slots. */
     void preempt_items(size_t count);
 
 private:
-    /** Whether what this node knows of the job is new enough to start a run by it. */
+    /** Whether this node's view of the job is recent enough to start a run. */
     bool may_run(const OwnedJob &job) const;
-    /** Stops this node's share of the runs that leave online work too few slots, and then waits
-     * until the slots freed by all nodes are known: otherwise the same lack is made good several
-     * times. */
-    void yield_places();
-    void yield_places_of(const std::string &service, size_t count);
-    /** Stops the run at such a worker that is the first to give way. \return Whether there was one.
-     */
+    /** Preempts this node's share of the runs that leave online work too few slots, then waits
+     * until the slots freed by all nodes are visible here: otherwise the same shortage would be
+     * compensated several times. */
+    void preempt_for_online_work();
+    void preempt_at_service(const std::string &service, size_t count);
+    /** Preempts the least urgent run at the workers that `at` selects.
+     * \return Whether there was one. */
     bool preempt_one(const OwnedJob::AtWorker &at);
 
     JobEnvironment &environment_;
@@ -53,9 +53,9 @@
     bool stopped_ = false;
     MonotonicTime burst_began_{};
     size_t items_in_burst_ = 0;
-    std::map<std::string, MonotonicTime> yield_after_; // by service
+    std::map<std::string, MonotonicTime> next_preemption_; // by service
     TimerPtr items_timer_;
-    TimerPtr yield_timer_;
+    TimerPtr preemption_timer_;
 };
 
 } // namespace chalkshed
--- a/include/chalkshed/job_ender.h
+++ b/include/chalkshed/job_ender.h
@@ -4,11 +4,11 @@
 /** \file
  * Ends batch jobs on behalf of their callers.
  *
- * An acknowledged end promises that the job does no more work, although another node may own it.
- * The end is written to the job's record, which fences the owner's results, and the owner is
- * notified before the caller is answered: by following the store alone it would go on for as long
- * as the store takes to answer it. A job that the store does not hold may still be on its way
- * there; a refusal's row fences it. */
+ * An acknowledged end guarantees that the job does no more work, even if another node owns it. The
+ * end is written to the job's record, which fences the owner's results, and the owner is notified
+ * before the caller is answered: an owner that only follows the store would continue for as long as
+ * the store takes to answer it. The write of a job that is not in the store yet may still be in
+ * flight; a refusal row fences it. */
 
 #include <functional>
 #include <memory>
@@ -20,7 +20,7 @@
 
 namespace chalkshed {
 
-/** A job's record and the version of its row, as a node knows them. */
+/** A job's record and the version of its row, as last seen by this node. */
 struct known_job {
     StoredJob record;
     StoreVersion version = 0;
@@ -28,41 +28,41 @@
 
 class job_ender {
 public:
-    /** Brings the row to the node of that session. `done` is called once, whether or not it could
-     * be brought. */
+    /** Sends the row to the node of that session. `done` is called once, whether or not the row was
+     * delivered. */
     using owner_notice = std::function<void(const std::string &session, const StoredRow &row,
                                             const std::function<void()> &done)>;
-    /** Told of each record that is read or written. */
+    /** Called with each record that is read or written. */
     using record_observer = std::function<void(const known_job &)>;
 
-    /** All references outlive the ender. */
+    /** All references must outlive the ender. */
     job_ender(JobEnvironment &environment, std::string own_session, record_observer observer);
 
     void set_owner_notice(owner_notice notice) {
         notice_ = std::move(notice);
     }
 
-    /** \param known What this node knows of the job, if anything.
-     * Errors: kNotFound, with the job fenced; kStoreUnavailable; kOutcomeUnknown. */
+    /** \param known The job as last seen by this node, if it has seen it.
+     * Errors: kNotFound (the job is fenced), kStoreUnavailable, kOutcomeUnknown. */
     void end(const std::string &job, const std::optional<known_job> &known,
              Callback<std::monostate> callback);
 
 private:
-    struct ending {
+    struct end_request {
         std::string job;
         uint32_t tries = 0;
         Callback<std::monostate> callback;
     };
-    using ending_ptr = std::shared_ptr<ending>;
+    using end_request_ptr = std::shared_ptr<end_request>;
 
-    void write_end(const ending_ptr &under_way, const known_job &known);
-    void write_refusal(const ending_ptr &under_way);
-    /** The write was refused: another record is there, or none. */
-    void handle_conflict(const ending_ptr &under_way, const StoreCommit &commit);
-    void handle_written(const ending_ptr &under_way, const known_job &ended);
-    /** Answers the caller once the owner has confirmed, or cannot be reached. */
-    void acknowledge(const ending_ptr &under_way, const known_job &ended);
-    void tell_owner(const ending_ptr &under_way, const known_job &ended);
+    void write_end(const end_request_ptr &request, const known_job &known);
+    void write_refusal(const end_request_ptr &request);
+    /** The condition of the write failed: the record has changed or does not exist. */
+    void handle_conflict(const end_request_ptr &request, const StoreCommit &commit);
+    void handle_written(const end_request_ptr &request, const known_job &ended);
+    /** Answers the caller once the owner has confirmed the notice or cannot be reached. */
+    void acknowledge(const end_request_ptr &request, const known_job &ended);
+    void notify_owner(const end_request_ptr &request, const known_job &ended);
 
     JobEnvironment &environment_;
     const std::string own_session_;
--- a/src/jobs/item_pace.h
+++ b/src/jobs/item_pace.h
@@ -1,14 +1,14 @@
-// How long items take, from their start to their whole text.
+// Estimates how long items take, from their start to their complete text.
 #pragma once
 
 #include "src/core/time.h"
 
 namespace chalkshed {
 
-// Which of two waiting items starts first, by how long each may still wait and be in time. What can
-// be in time goes before what cannot any more, the most urgent first: otherwise, once more is
-// queued than can be done, everything is begun just too late. Of those that are late already, the
-// least late may still be in time, because the estimate is a mean.
+// Whether an item with this slack (how long it may still wait and meet its target) starts before
+// one with the other slack. Items that can meet their target come first, the most urgent at the
+// head: otherwise, under overload, every item would start just too late. Among late items the least
+// late comes first; it may still meet its target because the estimate is a mean.
 inline bool starts_before(Duration slack, Duration other) {
   const bool late = slack < Duration(0);
   const bool other_late = other < Duration(0);
@@ -18,7 +18,7 @@
   return late ? slack > other : slack < other;
 }
 
-class ItemPace {
+class ItemDurationEstimator {
  public:
   void note(Duration took) {
     constexpr double kWeight = 0.1;
--- a/src/jobs/item_scheduler.cc
+++ b/src/jobs/item_scheduler.cc
@@ -12,9 +12,12 @@
       owned_(owned),
       may_start_(std::move(may_start)),
       items_timer_(environment.serving.dispatcher.create_timer([this] { start_items(); })),
-      yield_timer_(environment.serving.dispatcher.create_timer([this] { yield_places(); })) {}
+      preemption_timer_(
+          environment.serving.dispatcher.create_timer([this] { preempt_for_online_work(); })) {}
 
-void item_scheduler::start() { yield_timer_->enable(environment_.knobs.yield_interval); }
+void item_scheduler::start() {
+  preemption_timer_->enable(environment_.knobs.preemption_check_interval);
+}
 
 void item_scheduler::start_items() {
   if (stopped_) {
@@ -37,20 +40,20 @@
         first = slack;
       }
     }
-    const bool burst_over = items_in_burst_ >= environment_.knobs.most_items_at_a_time;
+    const bool burst_over = items_in_burst_ >= environment_.knobs.max_items_per_burst;
     if (next == nullptr || burst_over || !next->start_item()) {
       break;
     }
     ++items_in_burst_;
   }
-  constexpr Duration kLookAgain = std::chrono::milliseconds(50);
+  constexpr Duration kPollInterval = std::chrono::milliseconds(50);
   if (waiting && !items_timer_->enabled()) {
-    items_timer_->enable(kLookAgain);
+    items_timer_->enable(kPollInterval);
   }
 }
 
-// An end is acknowledged by whichever node wrote it, though the owner has not heard of it. While
-// the store answers no node, none can acknowledge one, and batch goes on.
+// The node that writes the end of a job acknowledges it, even if the owner has not been notified.
+// While the store answers no node, no node can acknowledge an end, so batch items may still start.
 bool item_scheduler::may_run(const OwnedJob& job) const {
   const MonotonicTime now = environment_.serving.time_source.monotonic_now();
   const Duration age = std::min(environment_.view_age(), now - job.confirmed());
@@ -61,7 +64,7 @@
   OwnedJob* owner = nullptr;
   std::optional<OwnedJob::Preemptible> first;
   for (const auto& [id, owned] : owned_) {
-    const auto run = owned.job->first_to_yield(at);
+    const auto run = owned.job->first_to_preempt(at);
     if (run && (!first || starts_before(first->slack, run->slack))) {
       owner = owned.job.get();
       first = run;
@@ -73,30 +76,30 @@
   return owner != nullptr;
 }
 
-// Online work never waits behind batch: runs that must start soon are preempted too, as the last.
+// Online requests never wait behind batch items: urgent runs are preempted too, after all others.
 void item_scheduler::preempt_items(size_t count) {
   while (count > 0 && preempt_one([](const ServingWorker&) { return true; })) {
     --count;
   }
 }
 
-void item_scheduler::yield_places() {
-  yield_timer_->enable(environment_.knobs.yield_interval);
+void item_scheduler::preempt_for_online_work() {
+  preemption_timer_->enable(environment_.knobs.preemption_check_interval);
   WorkerSet& workers = environment_.serving.workers;
   for (const std::string& service : workers.services_with_batch()) {
     const MonotonicTime now = environment_.serving.time_source.monotonic_now();
     const double wanted = workers.batch_runs_to_stop(service);
-    if (wanted <= 0 || now < yield_after_[service]) {
+    if (wanted <= 0 || now < next_preemption_[service]) {
       continue;
     }
-    yield_after_[service] = now + sessions_.view_lag();
-    // Rounded at random, so that the nodes together stop as many as are wanted.
+    next_preemption_[service] = now + sessions_.view_lag();
+    // Randomized rounding, so that the expected total over all nodes is the requested number.
     const double rounding = environment_.serving.random.unit();
-    yield_places_of(service, static_cast<size_t>(wanted + rounding));
+    preempt_at_service(service, static_cast<size_t>(wanted + rounding));
   }
 }
 
-void item_scheduler::yield_places_of(const std::string& service, size_t count) {
+void item_scheduler::preempt_at_service(const std::string& service, size_t count) {
   const WorkerSet& workers = environment_.serving.workers;
   const auto of_service = [&](const ServingWorker& worker) {
     return worker.record.service == service;
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,4 +1,4 @@
-// A batch job of opaque requests: what is accepted, what is stored of it, and its results.
+// A batch job of opaque requests: its submission, its stored record and its results.
 #pragma once
 
 #include <cstdint>
@@ -17,25 +17,25 @@
 namespace chalkshed {
 
 struct RequestJob {
-  // Names the job at all nodes and in the store: the caller's id, marked with the tenant. The same
-  // job may be sent again under it.
+  // Identifies the job at all nodes and in the store: the caller's id, qualified by the tenant. A
+  // caller may submit the same job again under the same id.
   std::string id;
-  std::string tenant;         // empty: nobody in particular
-  std::string authorization;  // as the caller sent it, for a peer that takes the job instead
+  std::string tenant;         // empty: no tenant
+  std::string authorization;  // as the caller sent it, for a peer that the job is forwarded to
   std::string host;
   std::string path;                   // selects the job's route together with the host
   std::vector<ServingRequest> items;  // each with its own id
-  std::string content;                // the items as sent; what is stored
-  bool forwarded = false;             // by a peer: it is not handed on once more
-  // The newest version of the store when the caller sent the job, as far as the node knew that it
-  // sent it to. A refusal that was written later binds this send wherever it is handed to.
+  std::string content;                // the items as sent; stored unchanged
+  bool forwarded = false;             // by a peer; it is not forwarded again
+  // The newest store version known to the node that received the job from its caller, at that
+  // time. A refusal written later applies to this submission at every node it is forwarded to.
   StoreVersion sent_as_of = 0;
-  // Turns true when the caller leaves without its answer; null: it cannot leave.
+  // Set to true when the caller disconnects before its answer; null: it cannot disconnect.
   std::shared_ptr<const bool> caller_left;
 };
 
-// The state of a job that all nodes share. Only its owner may append results; whoever takes it over
-// raises the epoch, which fences the owner before.
+// The state of a job that all nodes share. Only its owner may append results; a takeover increments
+// the epoch, which fences the previous owner.
 struct StoredJob {
   std::string id;
   std::string tenant;
@@ -43,7 +43,7 @@
   std::string path;
   uint32_t items = 0;
   uint64_t tokens = 0;  // of all items, as they count against the queue limit of the route
-  std::string owner;    // session of a node; empty: free to be taken
+  std::string owner;    // session of a node; empty: no owner, any node may take it over
   uint64_t epoch = 0;
   bool ended = false;     // by its caller
   bool finished = false;  // every item has its result
@@ -51,7 +51,7 @@
   Duration accepted{0};  // by the store's clock
 };
 
-// The items run on behalf of the tenant of their job.
+// Sets the tenant of the job on each of its items.
 inline void set_tenant(std::vector<ServingRequest>& items, const std::string& tenant) {
   for (ServingRequest& item : items) {
     item.tenant = tenant;
@@ -64,25 +64,25 @@
   std::string item;
   ItemState state = ItemState::kErrored;
   std::string text;
-  // The text lies in the object that `text` names: it is too large for a row.
+  // The text is too large for a row and is stored in the object that `text` names.
   bool in_object = false;
 };
 
-// What the runs of an item have brought so far.
+// The output that the runs of an item have produced so far.
 struct ItemProgress {
   std::string text;  // data of the events, separated by line feeds
   bool has_text = false;
   std::optional<uint64_t> last_event;
 };
 
-// Part of the wire format that jobs are sent in.
+// The part of the wire format that jobs are submitted in.
 class JobCodec {
  public:
   virtual ~JobCodec() = default;
-  // Errors: kInvalidRequest, naming what is wrong.
+  // Errors: kInvalidRequest, whose message names the defect.
   virtual Expected<std::vector<ServingRequest>> decode_items(const std::string& host,
                                                              std::string_view content) const = 0;
-  // The call by which one node hands the job to another.
+  // The request by which one node forwards the job to another.
   virtual HttpRequest encode_submission(const RequestJob& job) const = 0;
 };
 
--- a/src/jobs/job_ender.cc
+++ b/src/jobs/job_ender.cc
@@ -7,11 +7,11 @@
 namespace chalkshed {
 namespace {
 
-/** The record changes when its owner does, and when its last result is listed. */
-constexpr uint32_t kMostTries = 6;
+/** The record changes when its owner changes and when its last result is listed. */
+constexpr uint32_t kMaxAttempts = 6;
 
 Error unknown_job(const std::string& job) {
-  return not_run(ErrorKind::kNotFound, "there is no job " + job, "check the job's id");
+  return not_run(ErrorKind::kNotFound, "job does not exist: " + job, "check the job's id");
 }
 
 const StoredRow* record_row(const StoreCommit& refused) {
@@ -32,85 +32,85 @@
 
 void job_ender::end(const std::string& job, const std::optional<known_job>& known,
                     Callback<std::monostate> callback) {
-  auto under_way = std::make_shared<ending>(ending{job, 0, std::move(callback)});
+  auto request = std::make_shared<end_request>(end_request{job, 0, std::move(callback)});
   if (known) {
-    write_end(under_way, *known);
+    write_end(request, *known);
   } else {
-    write_refusal(under_way);
+    write_refusal(request);
   }
 }
 
-void job_ender::write_end(const ending_ptr& under_way, const known_job& known) {
+void job_ender::write_end(const end_request_ptr& request, const known_job& known) {
   if (known.record.finished) {
-    under_way->callback({});
+    request->callback({});
     return;
   }
-  // The node that wrote it may have been lost before it notified the owner.
+  // The node that wrote the end may have failed before it notified the owner.
   if (known.record.ended) {
-    acknowledge(under_way, known);
+    acknowledge(request, known);
     return;
   }
-  ++under_way->tries;
+  ++request->tries;
   known_job ended = known;
   ended.record.ended = true;
   StoreTransaction transaction;
-  transaction.conditions.push_back({stored_job_key(under_way->job), known.version});
-  transaction.writes.push_back({stored_job_key(under_way->job), encode_job_record(ended.record)});
+  transaction.conditions.push_back({stored_job_key(request->job), known.version});
+  transaction.writes.push_back({stored_job_key(request->job), encode_job_record(ended.record)});
   environment_.store.commit(
       std::move(transaction),
-      lifetime_.guard([this, under_way, ended](const Expected<StoreCommit>& commit) mutable {
+      lifetime_.guard([this, request, ended](const Expected<StoreCommit>& commit) mutable {
         if (!commit) {
-          under_way->callback(tl::unexpected(commit.error()));
+          request->callback(tl::unexpected(commit.error()));
         } else if (commit->committed) {
           ended.version = commit->stamp.version;
-          handle_written(under_way, ended);
+          handle_written(request, ended);
         } else {
-          handle_conflict(under_way, *commit);
+          handle_conflict(request, *commit);
         }
       }));
 }
 
-// The caller may not know whether its job was taken, and a write of it may be under way or be done
-// late. Acceptances are conditional on the row of the refusal, so that none of before succeeds.
-void job_ender::write_refusal(const ending_ptr& under_way) {
-  ++under_way->tries;
+// The caller may not know whether its job was accepted, and a write of the job may still be in
+// flight or be applied late. Acceptances are conditional on the refusal row, so that none sent
+// before this write succeeds.
+void job_ender::write_refusal(const end_request_ptr& request) {
+  ++request->tries;
   StoreTransaction transaction;
-  transaction.conditions.push_back({stored_job_key(under_way->job), 0});
+  transaction.conditions.push_back({stored_job_key(request->job), 0});
   transaction.writes.push_back(
-      {job_refusal_key(under_way->job), encode_job_refusal(environment_.clock.now())});
-  environment_.store.commit(std::move(transaction),
-                            lifetime_.guard([this, under_way](const Expected<StoreCommit>& commit) {
-                              if (!commit) {
-                                under_way->callback(tl::unexpected(commit.error()));
-                              } else if (commit->committed) {
-                                environment_.serving.logger.write(
-                                    LogLevel::kInfo, "unknown_job_ended",
-                                    {{"job", caller_job_id(under_way->job)}});
-                                under_way->callback(tl::unexpected(unknown_job(under_way->job)));
-                              } else {
-                                handle_conflict(under_way, *commit);
-                              }
-                            }));
+      {job_refusal_key(request->job), encode_job_refusal(environment_.clock.now())});
+  environment_.store.commit(
+      std::move(transaction), lifetime_.guard([this, request](const Expected<StoreCommit>& commit) {
+        if (!commit) {
+          request->callback(tl::unexpected(commit.error()));
+        } else if (commit->committed) {
+          environment_.serving.logger.write(LogLevel::kInfo, "unknown_job_ended",
+                                            {{"job", caller_job_id(request->job)}});
+          request->callback(tl::unexpected(unknown_job(request->job)));
+        } else {
+          handle_conflict(request, *commit);
+        }
+      }));
 }
 
-void job_ender::handle_conflict(const ending_ptr& under_way, const StoreCommit& commit) {
+void job_ender::handle_conflict(const end_request_ptr& request, const StoreCommit& commit) {
   const StoredRow* row = record_row(commit);
   if (row == nullptr) {
-    under_way->callback(tl::unexpected(unknown_job(under_way->job)));
+    request->callback(tl::unexpected(unknown_job(request->job)));
     return;
   }
-  const Expected<StoredJob> record = decode_job_record(under_way->job, row->value);
-  if (!record || under_way->tries >= kMostTries) {
-    under_way->callback(tl::unexpected(not_run(
-        ErrorKind::kStoreUnavailable, "the job's record changes too often", "end the job again")));
+  const Expected<StoredJob> record = decode_job_record(request->job, row->value);
+  if (!record || request->tries >= kMaxAttempts) {
+    request->callback(tl::unexpected(not_run(
+        ErrorKind::kStoreUnavailable, "the job's record kept changing", "end the job again")));
     return;
   }
   const known_job now{*record, row->version};
   observer_(now);
-  write_end(under_way, now);
+  write_end(request, now);
 }
 
-void job_ender::handle_written(const ending_ptr& under_way, const known_job& ended) {
+void job_ender::handle_written(const end_request_ptr& request, const known_job& ended) {
   environment_.serving.logger.write(LogLevel::kInfo, "job_ended",
                                     {{"job", caller_job_id(ended.record.id)},
                                      {"items", std::to_string(ended.record.items)},
@@ -118,28 +118,28 @@
                                      {"epoch", std::to_string(ended.record.epoch)},
                                      {"reason", "by its caller"}});
   observer_(ended);
-  acknowledge(under_way, ended);
+  acknowledge(request, ended);
 }
 
-void job_ender::acknowledge(const ending_ptr& under_way, const known_job& ended) {
+void job_ender::acknowledge(const end_request_ptr& request, const known_job& ended) {
   const bool elsewhere = !ended.record.owner.empty() && ended.record.owner != own_session_;
   if (elsewhere && notice_) {
-    tell_owner(under_way, ended);
+    notify_owner(request, ended);
   } else {
-    under_way->callback({});
+    request->callback({});
   }
 }
 
-// An owner that cannot be reached starts nothing by a view that is older than two seconds, so that
-// the caller need not wait for it.
-void job_ender::tell_owner(const ending_ptr& under_way, const known_job& ended) {
+// The caller need not wait for an owner that cannot be reached: it starts nothing from a view that
+// is older than two seconds.
+void job_ender::notify_owner(const end_request_ptr& request, const known_job& ended) {
   auto answered = std::make_shared<bool>(false);
-  const auto answer = lifetime_.guard([under_way, answered] {
+  const auto answer = lifetime_.guard([request, answered] {
     if (!std::exchange(*answered, true)) {
-      under_way->callback({});
+      request->callback({});
     }
   });
-  call_after(environment_.serving.dispatcher, environment_.knobs.longest_owner_notice, answer);
+  call_after(environment_.serving.dispatcher, environment_.knobs.owner_notice_timeout, answer);
   notice_(ended.record.owner,
           {stored_job_key(ended.record.id), encode_job_record(ended.record), ended.version, false},
           answer);
--- a/src/jobs/job_environment.h
+++ b/src/jobs/job_environment.h
@@ -1,4 +1,4 @@
-// What all parts of the job module share.
+// Dependencies that all classes of the job module share.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,7 @@
 
 namespace chalkshed {
 
-// All references outlive the jobs.
+// All references must outlive the jobs.
 struct JobEnvironment {
   ServingEnvironment& serving;
   RouteWatch& routes;
@@ -25,8 +25,8 @@
   const JobCodec& codec;
   ServiceDraw& draw;
   JobKnobs knobs;
-  ItemPace pace = {};
-  // What this node knows of the jobs of all nodes is as they stood so long ago, or newer.
+  ItemDurationEstimator pace = {};
+  // Upper bound of the age of this node's view of the jobs of all nodes.
   std::function<Duration()> view_age = [] { return Duration(0); };
 };
 
--- a/src/jobs/job_index.h
+++ b/src/jobs/job_index.h
@@ -2,7 +2,7 @@
 #define CHALKSHED_JOB_INDEX_H
 
 /** \file
- * What a node knows of the jobs of all nodes, and the jobs that it owns itself. */
+ * A node's view of the jobs of all nodes, and the jobs that it owns itself. */
 
 #include <map>
 #include <memory>
@@ -12,13 +12,13 @@
 
 namespace chalkshed {
 
-/** A job by the newest version of its record that is known here. */
+/** A job with the newest version of its record that this node has seen. */
 struct indexed_job {
   StoredJob record;
   StoreVersion version = 0;
-  MonotonicTime orphaned{};  // since when its owner is known to be gone
+  MonotonicTime orphaned{};  // when this node found its owner to be gone
   bool orphan = false;
-  bool busy = false;  // a takeover or load of it is under way here
+  bool busy = false;  // this node is taking it over or loading it
   MonotonicTime busy_since{};
 };
 using job_index_map = std::map<std::string, indexed_job>;
--- a/src/jobs/job_item_run.cc
+++ b/src/jobs/job_item_run.cc
@@ -53,7 +53,7 @@
   AttemptOptions options;
   options.pool = "batch";
   options.connect_timeout = environment.serving.knobs.connect_timeout;
-  options.silence_timeout = environment.knobs.item_silence;
+  options.silence_timeout = environment.knobs.item_silence_timeout;
   options.streaming = true;
   attempt_ = std::make_unique<WorkerAttempt>(
       environment.serving.time_source, environment.serving.worker_client,
--- a/src/jobs/job_item_run.h
+++ b/src/jobs/job_item_run.h
@@ -1,4 +1,4 @@
-// One run of one batch item at one worker, continuing behind what earlier runs have brought.
+// One run of a batch item at a worker; it resumes after the output of earlier runs.
 #pragma once
 
 #include <functional>
@@ -12,10 +12,10 @@
 namespace chalkshed {
 
 enum class JobItemRunEnd {
-  kCompleted,   // the text is whole
-  kImpossible,  // the worker says that it can never be done
-  kFailed,      // the worker failed on it
-  kBroken,      // broke off, or was not run: another run may continue
+  kCompleted,   // the text is complete
+  kImpossible,  // the worker reports that the item can never succeed
+  kFailed,      // the worker reports a failure of this run
+  kBroken,      // interrupted or not started: another run may resume
 };
 
 // @return the stable name used in logs and metrics.
@@ -25,14 +25,14 @@
  public:
   using OnEnd = std::function<void(JobItemRunEnd end, const std::string& reason)>;
 
-  // @param progress outlives the run. @param on_end may destroy the run.
+  // @param progress must outlive the run. @param on_end may destroy the run.
   JobItemRun(JobEnvironment& environment, const ServingRequest& item, WorkerPlacePtr place,
              ItemProgress& progress, OnEnd on_end);
   ~JobItemRun() override = default;
   JobItemRun(const JobItemRun&) = delete;
   JobItemRun& operator=(const JobItemRun&) = delete;
   const std::string& worker() const { return worker_; }
-  // How many requests the connection has carried, this run included.
+  // Number of requests that the connection has carried, including this run.
   uint64_t connection_use() const { return attempt_->call().connection_use(); }
 
  private:
--- a/src/jobs/job_knobs.h
+++ b/src/jobs/job_knobs.h
@@ -9,72 +9,74 @@
 namespace chalkshed {
 
 struct JobKnobs {
-  // A row holds at most this much. Larger results lie in objects.
-  size_t most_row_bytes = 60 * 1024;
-  // Contents up to this size lie in rows that are written together with the job's record: one call
-  // accepts the job. Larger ones lie in an object that is written before.
-  size_t most_content_in_rows = 660 * 1024;
-  // Results of one transaction.
-  size_t most_results_a_commit = 45;
-  size_t most_bytes_a_commit = 600 * 1024;
-  // Items whose progress one transaction records.
-  size_t most_checkpoints = 90;
-  // Results gather for this long before they are committed together.
+  // Size limit of a row. Larger results are stored in objects.
+  size_t max_row_bytes = 60 * 1024;
+  // Contents up to this size are stored in rows that are written together with the job's record, so
+  // that one call accepts the job. Larger ones are stored in an object that is written first.
+  size_t max_content_in_rows = 660 * 1024;
+  // Limits of the results in one transaction.
+  size_t max_results_per_commit = 45;
+  size_t max_bytes_per_commit = 600 * 1024;
+  // Number of items whose progress one transaction records.
+  size_t max_checkpoints_per_commit = 90;
+  // Results are batched for this long before they are committed together.
   Duration commit_delay = std::chrono::milliseconds(150);
-  // Between two records of what the running items have brought, so that another node continues
-  // behind it. Too short costs the store's bytes, too long the work of a lost node.
+  // Interval between checkpoints of the running items' output, from which another node can resume.
+  // Shorter intervals write more bytes to the store, longer ones lose more work with a node.
   Duration checkpoint_interval = std::chrono::milliseconds(1500);
-  Duration store_retry = std::chrono::milliseconds(250);
-  // A submission whose outcome is unknown is settled within this time, or the caller hears so.
-  uint32_t most_submit_tries = 4;
-  // A job is handed to a peer that reaches the store once the store has refused it or has said
-  // nothing for this long; to so many peers, one after the other.
+  Duration store_retry_delay = std::chrono::milliseconds(250);
+  // Attempts to store a submission whose outcome is unknown before the caller is told that it is
+  // unknown.
+  uint32_t max_submit_attempts = 4;
+  // A job is forwarded to a peer that reaches the store once the store has refused it or has not
+  // answered for this long; to at most max_hops peers, one after the other.
   Duration forward_after = std::chrono::milliseconds(120);
-  uint32_t most_hops = 3;
-  // A worker that sends nothing for this long has failed the item's run.
-  Duration item_silence = std::chrono::milliseconds(2500);
-  Duration preemption_pause = std::chrono::milliseconds(500);  // after it made room for online work
-  // How often it is looked whether runs should stop for online work.
-  Duration yield_interval = std::chrono::milliseconds(30);
-  // An item is urgent once it may wait no longer than what an item takes and this.
+  uint32_t max_hops = 3;
+  // The run of an item ends when its worker sends nothing for this long.
+  Duration item_silence_timeout = std::chrono::milliseconds(2500);
+  Duration preempted_item_delay =
+      std::chrono::milliseconds(500);  // before a preempted item restarts
+  // Interval between checks whether runs should be preempted for online work.
+  Duration preemption_check_interval = std::chrono::milliseconds(30);
+  // An item is urgent once its slack is below the estimated duration of an item plus this.
   Duration urgent_slack = std::chrono::milliseconds(1500);
-  // No run is started by what this node knew of the job longer ago than this, while another node
-  // may know more: it may have been ended since, or taken over. The platform says how long after
-  // the acknowledged end of a job an item may still begin at a worker, 3 s as a rule; connecting to
-  // a worker and a full machine take the rest.
+  // No run is started from a view of the job that is older than this while another node may have a
+  // newer one: the job may have been ended or taken over since. The platform limits how long after
+  // the acknowledged end of a job an item may still start at a worker, usually to 3 s; the
+  // difference covers connecting to a worker and delays on an overloaded machine.
   Duration longest_view_age = std::chrono::milliseconds(2000);
-  // The caller of an end waits this long at most until the owner has confirmed that it knows: some
-  // round trips between nodes, and less than it notices.
-  Duration longest_owner_notice = std::chrono::milliseconds(300);
-  Duration item_pause = std::chrono::milliseconds(200);  // before an item is tried again
-  // A node starts at most so many items at a time, and the next after this long: meanwhile its
-  // peers hear of them. Otherwise nodes that take over the jobs of others at the same moment all
-  // fill the same workers, and online requests queue there behind batch.
-  size_t most_items_at_a_time = 4;
+  // How long the caller that ends a job waits at most for the owner to confirm the notice: a few
+  // round trips between nodes, and too short to be noticed.
+  Duration owner_notice_timeout = std::chrono::milliseconds(300);
+  Duration item_retry_delay = std::chrono::milliseconds(200);  // between two runs of an item
+  // A node starts at most this many items per burst, and the next burst after this interval, in
+  // which its peers learn of the started items. Otherwise nodes that take over jobs at the same
+  // moment would all fill the same workers, and online requests would queue behind batch items.
+  size_t max_items_per_burst = 4;
   Duration item_burst_interval = std::chrono::milliseconds(60);
-  // The next node in line waits this much longer before it takes a free job over.
+  // Each further node in rank order waits this much longer before it takes over an orphaned job.
   Duration takeover_step = std::chrono::milliseconds(700);
   Duration sweep_interval = std::chrono::milliseconds(400);
-  // A sound store answers a takeover in some 10 ms and a load in 50 ms. After one that was not
-  // answered or took longer than this, so few of a node are under way at a time, until one is fast
-  // again: each gives up after 2 s and comes again, which keeps a full store full. With 6 nodes
-  // and a store of 50 calls a second they were 30 of 57 calls a second for as long as jobs came,
-  // and no job ended (virtual time).
+  // A healthy store answers a takeover in about 10 ms and a load in 50 ms. After one that was not
+  // answered or took longer than this, a node limits its concurrent takeovers and loads until one
+  // is fast again: each times out after 2 s and is retried, which keeps an overloaded store
+  // overloaded. In a simulation of 6 nodes and a store of 50 calls a second they made up 30 of 57
+  // calls a second for as long as jobs arrived, and no job ended.
   Duration slow_takeover = std::chrono::milliseconds(500);
-  size_t most_slow_takeovers = 2;
-  // Bytes of results in one answer.
-  size_t most_answer_bytes = 900 * 1024;
-  // Finished jobs stay in the owner's memory for this long.
-  Duration keep_finished = std::chrono::seconds(20);
-  // What the store holds of a job is removed this long after its acceptance, at least the longest
-  // retention of its route, unless it still runs.
-  Duration keep_stored = std::chrono::minutes(15);
-  // The row of a refusal is kept for this long: the store does writes whose answers it has lost
-  // some seconds later at most.
-  Duration keep_refusals = std::chrono::minutes(10);
-  // One partition's rows of refusals are looked at this often, by one node of the fleet.
+  size_t max_slow_takeovers = 2;
+  // Limit of the result bytes in one response.
+  size_t max_response_bytes = 900 * 1024;
+  // How long finished jobs stay in the owner's memory.
+  Duration finished_job_retention = std::chrono::seconds(20);
+  // The stored data of a job is removed this long after its acceptance unless the job still runs.
+  // At least the longest retention of its route.
+  Duration stored_job_retention = std::chrono::minutes(15);
+  // How long refusal rows are kept. The store applies a write whose answer was lost at most a few
+  // seconds late.
+  Duration refusal_retention = std::chrono::minutes(10);
+  // Interval at which one node of the fleet checks the refusal rows of one partition.
   Duration refusal_sweep_interval = std::chrono::minutes(1);
-  // A planned stop lets items under way run on for this long.
+  // How long running items may continue during a planned stop.
   Duration longest_drain = std::chrono::milliseconds(2600);
 };
 
--- a/src/jobs/job_loader.cc
+++ b/src/jobs/job_loader.cc
@@ -31,8 +31,8 @@
         const auto next = piece + static_cast<uint32_t>(page->rows.size());
         if (next == 0) {
           callback(tl::unexpected(maybe_run(ErrorKind::kNotFound,
-                                            "the content of job " + job + " is not there",
-                                            "check who removed it from the store")));
+                                            "the content of job " + job + " is missing",
+                                            "check what removed it from the store")));
           return;
         }
         if (page->more && next > piece) {
--- a/src/jobs/job_loader.h
+++ b/src/jobs/job_loader.h
@@ -1,4 +1,5 @@
-// Reads what a node needs to run a job that it has not accepted itself.
+// Reads the content, results and progress of a job that another node accepted, so that this node
+// can run it.
 #pragma once
 
 #include <map>
@@ -14,7 +15,7 @@
 
 struct LoadedJob {
   std::vector<ServingRequest> items;
-  std::vector<std::string> listed;  // ids of the items that have results, in their order
+  std::vector<std::string> listed;  // ids of the items that have results, in the result order
   std::map<std::string, ItemProgress> progress;   // of unfinished items, by id
   std::map<std::string, item_failures> failures;  // of items with failed runs, by id
 };
@@ -23,7 +24,7 @@
  public:
   explicit JobLoader(JobEnvironment& environment) : environment_(environment) {}
 
-  // Errors: kStoreUnavailable, kNotFound, kInvalidRequest (content that cannot be read).
+  // Errors: kStoreUnavailable, kNotFound, kInvalidRequest (malformed content).
   void load_items(const StoredJob& record, Callback<std::vector<ServingRequest>> callback);
   void load(const StoredJob& record, Callback<LoadedJob> callback);
 
@@ -37,7 +38,8 @@
                      Callback<LoadedJob> callback);
   void load_failures(const std::string& job, std::shared_ptr<LoadedJob> loaded,
                      Callback<LoadedJob> callback);
-  // Reads the range page by page. @param take called for each row; the last of a page comes twice.
+  // Reads the range page by page. @param take called for each row; the last row of a page is passed
+  // twice.
   void load_rows(const RangeRead& range, std::function<void(const StoredRow&)> take,
                  Callback<std::monostate> done);
 
--- a/src/jobs/job_queues.cc
+++ b/src/jobs/job_queues.cc
@@ -57,19 +57,19 @@
                    queue, [&](uint64_t job) { return listed.contains(job); }, now());
 }
 
-uint64_t job_queues::largest(const Route& route) const {
+uint64_t job_queues::largest_tenant_queue(const Route& route) const {
   std::set<std::string> tenants = {""};
   for (const auto& [id, indexed] : index_) {
     tenants.insert(indexed.record.tenant);
   }
-  uint64_t largest = 0;
+  uint64_t largest_tenant_queue = 0;
   for (const std::string& tenant : tenants) {
-    largest = std::max(largest, queued(route, tenant));
+    largest_tenant_queue = std::max(largest_tenant_queue, queued(route, tenant));
   }
-  return largest;
+  return largest_tenant_queue;
 }
 
-void job_queues::show() {
+void job_queues::update_metrics() {
   const RouteTablePtr& table = environment_.routes.current();
   const bool any_limit =
       table && std::any_of(table->routes().begin(), table->routes().end(),
@@ -84,18 +84,18 @@
   queued_.prune(now(), [&](uint64_t job) { return listed.contains(job); });
   for (const Route& route : table->routes()) {
     if (route.max_queued_tokens > 0) {
-      show(route);
+      update_metrics(route);
     }
   }
 }
 
-void job_queues::show(const Route& route) const {
+void job_queues::update_metrics(const Route& route) const {
   const MetricLabels labels = {{"route", route.name}};
   environment_.serving.metrics
       .gauge("chalkshed_queued_tokens",
              "Tokens of accepted batch items that have not ended, of the tenant with the most.",
              labels)
-      .set(static_cast<double>(largest(route)));
+      .set(static_cast<double>(largest_tenant_queue(route)));
   environment_.serving.metrics
       .gauge("chalkshed_queued_tokens_limit", "The most that may be queued, over all nodes.",
              labels)
--- a/src/jobs/job_queues.h
+++ b/src/jobs/job_queues.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_JOB_QUEUES_H
 
 /** \file
- * What waits on routes whose queue is limited, over all nodes: by the jobs that this node owns, by
- * what the owners of others report, and by the records of the rest. */
+ * Counts the queued tokens of routes with a queue limit over all nodes: from the jobs that this
+ * node owns, from the reports of other owners, and from the records of all other jobs. */
 
 #include <string>
 #include <vector>
@@ -16,20 +16,20 @@
 
 class job_queues : public queue_view {
  public:
-  /** All references outlive the queues. */
+  /** All references must outlive the queues. */
   job_queues(JobEnvironment& environment, const job_index_map& index, const owned_job_map& owned)
       : environment_(environment), index_(index), owned_(owned) {}
 
-  /** All jobs that the store holds have been read once. */
+  /** All jobs in the store have been read once. */
   void note_listed() { listed_ = true; }
-  /** What is left of the jobs that this node owns on routes whose queue is limited. */
+  /** The remaining tokens of the jobs that this node owns on routes with a queue limit. */
   std::vector<job_remainder> remainders();
-  /** What another node reports of a job that it owns. */
+  /** Records the remaining tokens that another node reports of a job that it owns. */
   void note_remainder(const job_remainder& reported);
-  /** The job is ended, finished or gone. */
+  /** The job was ended, has finished, or its record was removed. */
   void close(const std::string& job);
-  /** Shows what is queued in the metrics, and forgets old reports. */
-  void show();
+  /** Exports the queued tokens as metrics and removes expired reports. */
+  void update_metrics();
 
   bool complete() const override { return listed_; }
   uint64_t queued(const Route& route, const std::string& tenant) const override;
@@ -40,9 +40,9 @@
   MonotonicTime now() const { return environment_.serving.time_source.monotonic_now(); }
   /** \return The job's route if its queue is limited, or null. */
   const Route* limited_route_of(const StoredJob& record) const;
-  /** Tokens of the tenant that has the most queued on the route. */
-  uint64_t largest(const Route& route) const;
-  void show(const Route& route) const;
+  /** Queued tokens of the tenant that has the most on the route. */
+  uint64_t largest_tenant_queue(const Route& route) const;
+  void update_metrics(const Route& route) const;
 
   JobEnvironment& environment_;
   const job_index_map& index_;
--- a/src/jobs/job_remover.cc
+++ b/src/jobs/job_remover.cc
@@ -9,16 +9,16 @@
 namespace chalkshed {
 namespace {
 
-constexpr uint32_t kRowsATime = 90;  // fit one transaction, together with its condition
+constexpr uint32_t kRowsPerTransaction = 90;  // they fit one transaction together with a condition
 
 }  // namespace
 
 void JobRemover::remove(const StoredJob& record, StoreVersion version, std::function<void()> done) {
-  const RangeRead results = job_result_range(record.id, 0, kRowsATime);
+  const RangeRead results = job_result_range(record.id, 0, kRowsPerTransaction);
   RangeRead progress = job_progress_range(record.id);
-  progress.limit = kRowsATime;
+  progress.limit = kRowsPerTransaction;
   RangeRead failures = job_failure_range(record.id);
-  failures.limit = kRowsATime;
+  failures.limit = kRowsPerTransaction;
   auto last = [this, record, version, done] {
     std::vector<std::string> objects;
     if (record.content_in_object) {
@@ -27,7 +27,7 @@
     remove_objects(record, std::move(objects), version, done);
   };
   RangeRead content = job_content_range(record.id, 0);
-  content.limit = kRowsATime;
+  content.limit = kRowsPerTransaction;
   auto remove_content = [this, record, version, content, last, done] {
     remove_range(record, version, content, last, done);
   };
@@ -41,21 +41,21 @@
 }
 
 void JobRemover::remove_refusals(const std::string& partition) {
-  constexpr uint32_t kRefusalsATime = 45;  // each with a condition of its own
+  constexpr uint32_t kRefusalsPerTransaction = 45;  // each with a condition of its own
   RangeRead range;
   range.table = kStoredRefusalTable;
   range.partition = partition;
-  range.limit = kRefusalsATime;
+  range.limit = kRefusalsPerTransaction;
   environment_.store.read_range(
       std::move(range), lifetime_.guard([this](const Expected<RangePage>& page) {
         if (!page) {
-          return;  // the next round reads them again
+          return;  // the next sweep reads them again
         }
         StoreTransaction transaction;
         for (const StoredRow& row : page->rows) {
           const std::optional<Duration> refused = decode_job_refusal(row.value);
           const Duration age = environment_.clock.now() - refused.value_or(Duration(0));
-          if (age >= environment_.knobs.keep_refusals) {
+          if (age >= environment_.knobs.refusal_retention) {
             transaction.conditions.push_back({row.key, row.version});
             transaction.writes.push_back({row.key, std::nullopt});
           }
--- a/src/jobs/job_remover.h
+++ b/src/jobs/job_remover.h
@@ -1,5 +1,5 @@
-// Removes what the store holds of jobs that nobody may ask for any more: results, progress, content
-// and record, the record last, so that a removal that is cut short is taken up again.
+// Removes expired jobs from the store: results, progress, content and record. The record is removed
+// last, so that an interrupted removal is retried.
 #pragma once
 
 #include <functional>
@@ -12,14 +12,14 @@
 class JobRemover {
  public:
   explicit JobRemover(JobEnvironment& environment) : environment_(environment) {}
-  // @param version of the job's record; a job that has changed since is left alone.
-  // @param done called once, whether or not all could be removed.
+  // @param version of the job's record; a job that has changed since is not removed.
+  // @param done called once, whether or not everything was removed.
   void remove(const StoredJob& record, StoreVersion version, std::function<void()> done);
-  // Removes rows of refusals of the partition that no late write can meet any more.
+  // Removes the refusal rows of the partition that are older than any late write of a job.
   void remove_refusals(const std::string& partition);
 
  private:
-  // Removes a page of the range after another, then runs `then`.
+  // Removes the range page by page, then calls `then`.
   void remove_range(const StoredJob& record, StoreVersion version, const RangeRead& range,
                     std::function<void()> then, std::function<void()> done);
   void remove_objects(const StoredJob& record, std::vector<std::string> names, StoreVersion version,
--- a/src/jobs/job_rows.cc
+++ b/src/jobs/job_rows.cc
@@ -10,14 +10,14 @@
 namespace chalkshed {
 namespace {
 
-// Enough for the writes of the largest size built towards; few enough to list in a moment.
+// Enough for the write rate of the largest supported deployment, few enough to list quickly.
 constexpr uint64_t kPartitions = 8;
 constexpr std::string_view kCompleted = "completed";
 constexpr std::string_view kErrored = "errored";
 constexpr std::string_view kInObject = "in_object";
 
 Error unreadable(const std::string& what) {
-  return maybe_run(ErrorKind::kInternal, what + " in the store cannot be read",
+  return maybe_run(ErrorKind::kInternal, what + " in the store is malformed",
                    "check which program wrote it");
 }
 
--- a/src/jobs/job_rows.h
+++ b/src/jobs/job_rows.h
@@ -1,5 +1,5 @@
-// How jobs lie in the store. A job's rows share one partition, chosen by its id, so that one
-// transaction covers its record and its results.
+// The layout of jobs in the store. All rows of a job are in one partition, chosen by its id, so
+// that one transaction covers its record and its results.
 #pragma once
 
 #include <optional>
@@ -12,18 +12,18 @@
 
 inline constexpr const char* kStoredJobTable = "job";  // key: job id
 inline constexpr const char* kStoredContentTable =
-    "job_content";  // key: job id, number of the piece; what doesn't fit lies in an object
+    "job_content";  // key: job id, number of the piece; larger contents are stored in an object
 inline constexpr const char* kStoredResultTable = "job_result";  // key: job id, position
-// What unfinished items have brought so far; key: job id, item id.
+// Output of unfinished items so far; key: job id, item id.
 inline constexpr const char* kStoredProgressTable = "job_progress";
-// Failed runs of items, by whichever owner; key: job id, item id.
+// Failed runs of items under any owner; key: job id, item id.
 inline constexpr const char* kStoredFailureTable = "job_failure";
 
-// @return all partitions that jobs lie in.
+// @return all partitions that hold jobs.
 std::vector<std::string> job_partitions();
 std::string job_partition(const std::string& job);
 StoredRowKey stored_job_key(const std::string& job);
-// A job's content lies in pieces, each in a row.
+// A job's content is split into pieces, one per row.
 StoredRowKey job_content_key(const std::string& job, uint32_t piece);
 // The pieces from `piece` on.
 RangeRead job_content_range(const std::string& job, uint32_t piece);
@@ -33,15 +33,15 @@
 RangeRead job_progress_range(const std::string& job);
 StoredRowKey job_failure_key(const std::string& job, const std::string& item);
 RangeRead job_failure_range(const std::string& job);
-// That a job was refused for its queue limit; key: job id, value: when, by the store's clock. Every
-// acceptance is conditional on it, so that a write of before the refusal that the store does late
-// changes nothing.
+// Records that a job was refused because of its queue limit; key: job id, value: time of the
+// refusal by the store's clock. Every acceptance is conditional on this row, so that a write that
+// was sent before the refusal and is applied late has no effect.
 inline constexpr const char* kStoredRefusalTable = "job_refusal";
 StoredRowKey job_refusal_key(const std::string& job);
 std::string encode_job_refusal(Duration now);
-// @return nothing when it cannot be read.
+// @return nothing when the value is malformed.
 std::optional<Duration> decode_job_refusal(std::string_view value);
-// @return the item that a key of either of these two names.
+// @return the item id in a key of the progress or failure table.
 std::string item_of_key(const std::string& job, const StoredRowKey& key);
 // Results from `position` on.
 RangeRead job_result_range(const std::string& job, uint32_t position, uint32_t limit);
@@ -50,8 +50,8 @@
 // Name of the object that holds the text of a large result; unique to the owner's epoch.
 std::string result_object_name(const StoredJob& record, uint32_t position);
 
-// A version that no row has: a transaction under the condition that a row has it changes nothing,
-// and its answer tells the row as it is now, however old other reads may be.
+// A version that no row has: a transaction conditional on it changes nothing, and its answer
+// contains the current row, whereas other reads may be stale.
 inline constexpr StoreVersion kNoVersion = UINT64_MAX >> 12U;
 
 std::string encode_job_record(const StoredJob& record);
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -10,7 +10,7 @@
 namespace {
 
 Error unknown_job(const std::string& job) {
-  return not_run(ErrorKind::kNotFound, "there is no job " + job, "check the job's id");
+  return not_run(ErrorKind::kNotFound, "job does not exist: " + job, "check the job's id");
 }
 
 Error unknown_item(const std::string& job, const std::string& item) {
@@ -34,7 +34,7 @@
       ender_(environment, sessions.own_session(),
              [this](const known_job& known) { note(known.record, known.version); }),
       recorder_(environment.store, environment.serving.dispatcher, environment.serving.logger,
-                environment.knobs.store_retry),
+                environment.knobs.store_retry_delay),
       scheduler_(environment, sessions, owned_, std::move(may_start)),
       sweep_timer_(environment.serving.dispatcher.create_timer([this] { sweep(); })) {}
 
@@ -53,7 +53,7 @@
     index_.erase(row.key.key);
     const auto owned = owned_.find(row.key.key);
     if (owned != owned_.end() && owned->second.job->version() < row.version) {
-      drop(row.key.key, "its record is gone");
+      drop(row.key.key, "its record was removed");
     }
     return;
   }
@@ -166,10 +166,11 @@
       return;
     }
     log(LogLevel::kInfo, "job_accepted", outcome->record,
-        outcome->accepted_here ? "taken here" : "was there before");
+        outcome->accepted_here ? "accepted by this submission" : "was stored before");
     callback({});
     note(outcome->record, outcome->version);
-    // Settled late, it may have been ended, or even taken over and finished, meanwhile.
+    // If the outcome was determined late, the job may meanwhile have been ended, or taken over and
+    // finished.
     const bool open = !outcome->record.ended && !outcome->record.finished &&
                       index_.at(outcome->record.id).version == outcome->version;
     if (outcome->accepted_here && open && !owned_.contains(outcome->record.id)) {
@@ -215,7 +216,7 @@
   page.next = from;
   const std::vector<JobResult>& held = job.held();
   for (size_t index = from - job.first_held(); index < held.size(); ++index) {
-    if (!page.add(held[index], environment_.knobs.most_answer_bytes)) {
+    if (!page.add(held[index], environment_.knobs.max_response_bytes)) {
       break;
     }
   }
@@ -232,7 +233,7 @@
       callback(page_of(owned, std::min<uint32_t>(from, static_cast<uint32_t>(listed))));
       return;
     }
-    // Answers upon the next commit or after the wait, whichever comes first.
+    // Answers after the next commit or after the wait, whichever comes first.
     auto answered = std::make_shared<bool>(false);
     auto answer = lifetime_.guard([this, job, from, answered, callback] {
       if (!std::exchange(*answered, true)) {
@@ -301,12 +302,12 @@
   const MonotonicTime now = environment_.serving.time_source.monotonic_now();
   for (auto entry = owned_.begin(); entry != owned_.end();) {
     owned_entry& owned = entry->second;
-    owned.job->give_up_hopeless();
+    owned.job->fail_unrunnable_items();
     if (owned.job->finished() && owned.finished == MonotonicTime{}) {
       owned.finished = now;
     }
     const bool forget = owned.finished != MonotonicTime{} &&
-                        now - owned.finished > environment_.knobs.keep_finished;
+                        now - owned.finished > environment_.knobs.finished_job_retention;
     entry = forget ? owned_.erase(entry) : std::next(entry);
   }
   for (auto& [id, indexed] : index_) {
@@ -316,7 +317,7 @@
     on_ownership_changed_();
   }
   sweep_refusals(now);
-  queues_.show();
+  queues_.update_metrics();
   scheduler_.start_items();
 }
 
@@ -342,8 +343,8 @@
     return;
   }
   if (record.owner == sessions_.own_session()) {
-    // Owned by an acceptance or takeover whose answer was lost. A new epoch fences whatever that
-    // one may still have under way.
+    // This node became the owner by an acceptance or takeover whose answer was lost. A new epoch
+    // fences any writes of it that may still be in flight.
     if (!owned_.contains(id) && !submitting_.contains(id)) {
       take_over(id);
     }
@@ -365,7 +366,8 @@
 
 void JobService::remove_if_old(const std::string& id, const indexed_job& indexed) {
   const Duration age = environment_.clock.now() - indexed.record.accepted;
-  if (removing_ || draining_ || age < environment_.knobs.keep_stored || sessions_.rank(id) > 0) {
+  if (removing_ || draining_ || age < environment_.knobs.stored_job_retention ||
+      sessions_.rank(id) > 0) {
     return;
   }
   removing_ = true;
@@ -373,24 +375,24 @@
   remover_.remove(indexed.record, indexed.version, lifetime_.guard([this] { removing_ = false; }));
 }
 
-bool JobService::enough_takeovers() const {
+bool JobService::takeover_limit_reached() const {
   const JobKnobs& knobs = environment_.knobs;
   const MonotonicTime now = environment_.serving.time_source.monotonic_now();
   const auto counted = std::count_if(index_.begin(), index_.end(), [&](const auto& entry) {
     const indexed_job& indexed = entry.second;
     return indexed.busy && (takeovers_slow_ || now - indexed.busy_since > knobs.slow_takeover);
   });
-  return static_cast<size_t>(counted) >= knobs.most_slow_takeovers;
+  return static_cast<size_t>(counted) >= knobs.max_slow_takeovers;
 }
 
-void JobService::note_takeover_over(indexed_job& indexed, bool answered) {
+void JobService::finish_takeover(indexed_job& indexed, bool answered) {
   const Duration took = environment_.serving.time_source.monotonic_now() - indexed.busy_since;
   takeovers_slow_ = !answered || took > environment_.knobs.slow_takeover;
   indexed.busy = false;
 }
 
 void JobService::take_over(const std::string& id) {
-  if (enough_takeovers()) {
+  if (takeover_limit_reached()) {
     return;
   }
   indexed_job& indexed = index_.at(id);
@@ -408,11 +410,11 @@
                        before = indexed.record.owner](const Expected<StoreCommit>& commit) {
         const auto found = index_.find(mine.id);
         if (found != index_.end()) {
-          note_takeover_over(found->second, commit.has_value());
+          finish_takeover(found->second, commit.has_value());
         }
         if (!commit || !commit->committed) {
           log(LogLevel::kInfo, "job_not_taken_over", mine,
-              commit ? "another node was first" : commit.error().message);
+              commit ? "the record has changed" : commit.error().message);
           if (commit && !commit->current.empty() && commit->current.front().version > 0) {
             on_row(commit->current.front());
           }
@@ -423,7 +425,7 @@
                      {})
             .add(1);
         log(LogLevel::kInfo, "job_taken_over", mine,
-            before.empty() ? "it was free" : "its owner " + before + " is gone");
+            before.empty() ? "it had no owner" : "its owner " + before + " is gone");
         note(mine, commit->stamp.version);
         load(mine, commit->stamp.version, sent);
       }));
@@ -433,23 +435,22 @@
   indexed_job& indexed = index_.at(record.id);
   indexed.busy = true;
   indexed.busy_since = environment_.serving.time_source.monotonic_now();
-  loader_.load(record,
-               lifetime_.guard([this, record, version, known_since](Expected<LoadedJob> loaded) {
-                 const auto found = index_.find(record.id);
-                 if (found == index_.end()) {
-                   return;
-                 }
-                 note_takeover_over(found->second,
-                                    loaded || loaded.error().kind != ErrorKind::kStoreUnavailable);
-                 if (!loaded) {
-                   log(LogLevel::kWarning, "job_not_loaded", record, loaded.error().message);
-                   return;
-                 }
-                 if (found->second.version != version || owned_.contains(record.id)) {
-                   return;
-                 }
-                 adopt(record, version, known_since, std::move(*loaded));
-               }));
+  loader_.load(record, lifetime_.guard([this, record, version,
+                                        known_since](Expected<LoadedJob> loaded) {
+    const auto found = index_.find(record.id);
+    if (found == index_.end()) {
+      return;
+    }
+    finish_takeover(found->second, loaded || loaded.error().kind != ErrorKind::kStoreUnavailable);
+    if (!loaded) {
+      log(LogLevel::kWarning, "job_not_loaded", record, loaded.error().message);
+      return;
+    }
+    if (found->second.version != version || owned_.contains(record.id)) {
+      return;
+    }
+    adopt(record, version, known_since, std::move(*loaded));
+  }));
 }
 
 bool JobService::owns_open_jobs() const {
@@ -487,12 +488,12 @@
     }
     return;
   }
-  constexpr Duration kLookAgain = std::chrono::milliseconds(50);
-  call_after(environment_.serving.dispatcher, kLookAgain,
+  constexpr Duration kPollInterval = std::chrono::milliseconds(50);
+  call_after(environment_.serving.dispatcher, kPollInterval,
              lifetime_.guard([this] { check_drained(); }));
 }
 
-// The items' progress is recorded first, so that the next owner continues behind it.
+// The progress of the items is recorded first, so that the next owner can resume from it.
 void JobService::release(const std::string& id) {
   owned_.at(id).job->checkpoint(lifetime_.guard([this, id] {
     const auto found = owned_.find(id);
--- a/src/jobs/job_service.h
+++ b/src/jobs/job_service.h
@@ -1,5 +1,5 @@
-// Batch jobs as callers see them, at every node: accepts, reads results and bodies, ends. Owns the
-// jobs that this node runs, and takes over those whose owners are gone.
+// The batch job interface of a node: accepts and ends jobs, and reads their results and bodies.
+// Holds the jobs that this node runs, and takes over those whose owners are gone.
 #pragma once
 
 #include <functional>
@@ -28,7 +28,7 @@
 
 class JobService : public TableObserver {
  public:
-  // @param may_start whether batch may take places now: no online request waits for one.
+  // @param may_start whether batch items may take slots now: no online request is waiting for one.
   JobService(JobEnvironment& environment, SessionView& sessions, std::function<bool()> may_start);
 
   void start();
@@ -36,45 +36,47 @@
   void on_row(const StoredRow& row) override;
   void on_listed() override { queues_.note_listed(); }
 
-  // Accepts the job durably. Sending it again under its id succeeds again.
-  // Errors: kStoreUnavailable with Ran::kNo when certainly nothing was accepted; kOutcomeUnknown.
+  // Accepts the job durably. Submitting it again under the same id is idempotent.
+  // Errors: kStoreUnavailable with Ran::kNo when the job was certainly not accepted;
+  // kOutcomeUnknown.
   void submit(RequestJob submission, Callback<std::monostate> callback);
-  // @param wait the answer may be held back that long while there is no result.
+  // @param wait how long the answer may be delayed while there is no result.
   // Errors: kNotFound, kStoreUnavailable.
   void read_results(const std::string& job, uint32_t from, Duration wait,
                     Callback<ResultPage> callback);
-  // The body of an item that is not listed yet. Errors: kNotFound, kStoreUnavailable.
+  // Reads the body of an item that has no listed result yet. Errors: kNotFound, kStoreUnavailable.
   void read_body(const std::string& job, const std::string& item, Callback<std::string> callback);
-  // Ends the job; no item is started any more, here or at its owner. A job that the store does not
-  // hold is fenced: a write of it that is under way does not succeed. Errors: kNotFound,
+  // Ends the job; neither this node nor its owner starts further items. A job that is not in the
+  // store is fenced: a write of it that is still in flight fails. Errors: kNotFound,
   // kStoreUnavailable, kOutcomeUnknown.
   void end(const std::string& job, Callback<std::monostate> callback);
-  // Whether the row ends a job that this session owns by that row.
+  // Whether the row is the ended record of a job, with this session as its owner.
   bool is_end_of_own_job(const StoredRow& row) const;
-  // How the owner of a job hears that another node has ended it.
+  // Sets how the owner of a job is notified that this node has ended it.
   void set_owner_notice(job_ender::owner_notice notice) {
     ender_.set_owner_notice(std::move(notice));
   }
 
-  // Starts waiting items while workers have room.
+  // Starts waiting items while workers have free slots.
   void start_items() { scheduler_.start_items(); }
-  // Stops up to `count` runs: online requests wait for their places.
+  // Preempts up to `count` runs for online requests that wait for their slots.
   void preempt_items(size_t count) { scheduler_.preempt_items(count); }
-  // Planned stop: starts nothing more, lets items under way end, gives the jobs to other nodes,
-  // then calls `done` once.
+  // Planned stop: starts no further items, lets running items end, releases the jobs to other
+  // nodes, then calls `done` once.
   void drain(std::function<void()> done);
   size_t owned_jobs() const { return owned_.size(); }
 
-  // Queues of the routes that limit them: own remainders to report, and those of other nodes.
+  // The queues of routes with a queue limit: remaining tokens of this node's jobs, to be reported,
+  // and those reported by other nodes.
   job_queues& queues() { return queues_; }
-  // Called when this node owns a further job, so that peers hear of it soon.
+  // Called when this node owns a further job, so that peers are told soon.
   void set_on_queue_changed(std::function<void()> callback) {
     on_queue_changed_ = std::move(callback);
   }
 
   // Whether this node owns a job that is not finished.
   bool owns_open_jobs() const;
-  // Called when that may have changed.
+  // Called when the result of owns_open_jobs() may have changed.
   void set_on_ownership_changed(std::function<void()> callback) {
     on_ownership_changed_ = std::move(callback);
   }
@@ -84,20 +86,20 @@
 
   void find(const std::string& job, Found callback);
   void note(const StoredJob& record, StoreVersion version);
-  // @param known_since when the write was sent by which the job became this node's.
+  // @param known_since when the write that made this node the owner was sent.
   void adopt(const StoredJob& record, StoreVersion version, MonotonicTime known_since,
              LoadedJob loaded);
   void drop(const std::string& job, const std::string& reason);
   void sweep();
-  // Looks after the rows of refusals of one partition after another, at one node of the fleet.
+  // Removes old refusal rows, one partition per sweep, at one node of the fleet.
   void sweep_refusals(MonotonicTime now);
   void sweep_job(const std::string& id, indexed_job& indexed);
-  // Removes the job from the store when it is old and this node's turn.
+  // Removes the job from the store when it has expired and this node has the first rank for it.
   void remove_if_old(const std::string& id, const indexed_job& indexed);
-  // Whether one takeover more would only make a slow store slower.
-  bool enough_takeovers() const;
-  // A takeover or load of the job is over.
-  void note_takeover_over(indexed_job& indexed, bool answered);
+  // Whether the store is slow and as many takeovers are in progress as are allowed then.
+  bool takeover_limit_reached() const;
+  // Records the end of a takeover or load of the job.
+  void finish_takeover(indexed_job& indexed, bool answered);
   void take_over(const std::string& id);
   void load(const StoredJob& record, StoreVersion version, MonotonicTime known_since);
   void release(const std::string& id);
@@ -126,8 +128,8 @@
   size_t next_refusals_ = 0;  // partition
   std::map<uint64_t, std::unique_ptr<JobSubmit>> submits_;
   uint64_t next_submit_ = 0;
-  std::map<std::string, uint32_t> submitting_;  // submissions under way, by job
-  bool takeovers_slow_ = false;  // the last takeover or load was slow, or was not answered
+  std::map<std::string, uint32_t> submitting_;  // submissions in progress, by job
+  bool takeovers_slow_ = false;  // the last takeover or load was slow or got no answer
   bool draining_ = false;
   MonotonicTime drain_began_{};
   std::function<void()> on_drained_;
--- a/src/jobs/job_submit.cc
+++ b/src/jobs/job_submit.cc
@@ -8,8 +8,9 @@
 
 namespace {
 
-// A job that a peer hands on keeps the moment of its send. Taken for a new one it would be accepted
-// past a refusal or an end that its caller has heard from another node meanwhile.
+// A forwarded job keeps the store version of its original submission. Treated as a new submission,
+// it would be accepted despite a refusal or an end that another node has meanwhile reported to the
+// caller.
 StoreVersion newest_when_sent(const RequestJob& submission, StoreVersion newest) {
   return submission.forwarded ? std::min(submission.sent_as_of, newest) : newest;
 }
@@ -39,7 +40,7 @@
   }
   record_.owner = std::move(owner);
   record_.epoch = 1;
-  record_.content_in_object = submission_.content.size() > environment_.knobs.most_content_in_rows;
+  record_.content_in_object = submission_.content.size() > environment_.knobs.max_content_in_rows;
   record_.accepted = environment_.clock.now();
 }
 
@@ -56,7 +57,7 @@
 }
 
 void JobSubmit::handle_verdict(const Expected<admission_verdict>& verdict) {
-  if (ended_ || end_if_deserted()) {
+  if (ended_ || finish_if_caller_left()) {
     return;
   }
   if (!verdict) {
@@ -68,10 +69,10 @@
   }
 }
 
-// A refusal promises that nothing of the job runs. It is sent only when no peer may still take
-// the job, and after a row has been written that every acceptance is conditional on: a write of
-// before, by any node, changes nothing when the store does it late. A caller may also send a job
-// again whose acceptance it did not hear of; then the record is there.
+// A refusal guarantees that nothing of the job runs. It is sent only when no peer may still accept
+// the job, and after writing a row that every acceptance is conditional on: an earlier write by any
+// node has no effect when the store applies it late. If a caller resubmits a job because it missed
+// the acceptance, the record is found here.
 void JobSubmit::refuse_unless_stored(const admission_verdict& verdict) {
   StoreTransaction transaction;
   transaction.conditions.push_back({stored_job_key(record_.id), 0});
@@ -99,7 +100,7 @@
   }
   for (const StoredRow& row : commit->current) {
     if (row.key.table == kStoredJobTable && row.version > 0) {
-      count_meeting("refusal");
+      count_refusal_conflict("refusal");
       finish_with_record(row);
       return;
     }
@@ -109,7 +110,7 @@
       return;
     }
   }
-  retry(not_run(ErrorKind::kStoreUnavailable, "the store did not tell why it refused",
+  retry(not_run(ErrorKind::kStoreUnavailable, "the store rejected the write without a reason",
                 "send the job again"),
         [this] { admit(); });
 }
@@ -119,9 +120,9 @@
     refused_ = verdict;
     return;
   }
-  if (peer_may_have_taken_) {
+  if (peer_may_have_accepted_) {
     finish(tl::unexpected(maybe_run(ErrorKind::kOutcomeUnknown,
-                                    "a peer did not say whether it took the job",
+                                    "a peer did not report whether it accepted the job",
                                     "send the job again under the same id")));
     return;
   }
@@ -134,17 +135,17 @@
        {"limit", std::to_string(verdict.limit)},
        {"retry_after_ms", std::to_string(verdict.retry_after / std::chrono::milliseconds(1))}});
   const std::string reason =
-      verdict.limit == 0 ? "the job was refused at another node meanwhile"
+      verdict.limit == 0 ? "another node has refused the job meanwhile"
                          : "the job's " + std::to_string(record_.tokens) +
-                               " tokens do not fit beside the " + std::to_string(verdict.queued) +
-                               " queued; the limit is " + std::to_string(verdict.limit);
+                               " tokens exceed the queue limit: " + std::to_string(verdict.queued) +
+                               " tokens are queued, the limit is " + std::to_string(verdict.limit);
   Error refused = not_run(ErrorKind::kLimitExceeded, reason,
-                          "send it again after the time given, or in smaller jobs");
+                          "send it again after the given delay, or split it into smaller jobs");
   refused.retry_after = verdict.retry_after;
   finish(tl::unexpected(std::move(refused)));
 }
 
-void JobSubmit::count_meeting(const char* writer) const {
+void JobSubmit::count_refusal_conflict(const char* writer) const {
   environment_.serving.metrics
       .counter("chalkshed_job_refusals_met_total",
                "Acceptances that met the row of a refusal, and refusals that met a stored job.",
@@ -153,7 +154,7 @@
 }
 
 void JobSubmit::handle_refusal_row(const StoredRow& refusal) {
-  count_meeting("acceptance");
+  count_refusal_conflict("acceptance");
   refusal_version_ = refusal.version;
   if (refusal.version <= newest_at_start_) {
     commit();
@@ -173,7 +174,7 @@
 }
 
 void JobSubmit::put_content() {
-  if (ended_ || end_if_deserted()) {
+  if (ended_ || finish_if_caller_left()) {
     return;
   }
   environment_.objects.put(job_object_name(record_.id),
@@ -188,7 +189,7 @@
 }
 
 void JobSubmit::commit() {
-  if (ended_ || end_if_deserted()) {
+  if (ended_ || finish_if_caller_left()) {
     return;
   }
   StoreTransaction transaction;
@@ -205,7 +206,7 @@
 }
 
 void JobSubmit::add_content(StoreTransaction& transaction) const {
-  const size_t piece_bytes = environment_.knobs.most_row_bytes;
+  const size_t piece_bytes = environment_.knobs.max_row_bytes;
   uint32_t piece = 0;
   for (size_t at = 0; at < submission_.content.size(); at += piece_bytes) {
     transaction.writes.push_back(
@@ -242,15 +243,16 @@
     }
   }
   if (refusal == nullptr) {
-    finish(
-        tl::unexpected(maybe_run(ErrorKind::kStoreUnavailable,
-                                 "the store did not tell the job's record", "send the job again")));
+    finish(tl::unexpected(maybe_run(ErrorKind::kStoreUnavailable,
+                                    "the store did not return the job's record",
+                                    "send the job again")));
     return;
   }
   handle_refusal_row(*refusal);
 }
 
-// There already: sent before, here or elsewhere, or an earlier send of this one was applied.
+// The job is stored already: it was submitted before, at any node, or an earlier attempt of this
+// submission was applied.
 void JobSubmit::finish_with_record(const StoredRow& row) {
   const Expected<StoredJob> record = decode_job_record(record_.id, row.value);
   if (!record) {
@@ -266,8 +268,8 @@
 }
 
 void JobSubmit::forward() {
-  const bool may = !ended_ && !end_if_deserted() && !refused_ && !submission_.forwarded &&
-                   !forwarding_ && hops_ < environment_.knobs.most_hops;
+  const bool may = !ended_ && !finish_if_caller_left() && !refused_ && !submission_.forwarded &&
+                   !forwarding_ && hops_ < environment_.knobs.max_hops;
   if (!may) {
     return;
   }
@@ -279,7 +281,7 @@
 
 void JobSubmit::handle_forwarded(forward_outcome outcome) {
   forwarding_ = false;
-  peer_may_have_taken_ = peer_may_have_taken_ || outcome == forward_outcome::kUnknown;
+  peer_may_have_accepted_ = peer_may_have_accepted_ || outcome == forward_outcome::kUnknown;
   if (outcome == forward_outcome::kAccepted) {
     SubmitOutcome accepted;
     accepted.record = record_;
@@ -300,14 +302,14 @@
 }
 
 void JobSubmit::retry(const Error& error, std::function<void()> action) {
-  const uint32_t most = submission_.forwarded ? 1 : environment_.knobs.most_submit_tries;
+  const uint32_t most = submission_.forwarded ? 1 : environment_.knobs.max_submit_attempts;
   const bool last = ++tries_ >= most;
   if (last) {
     last_error_ = error;
   } else {
     retry_action_ = std::move(action);
     retry_timer_->enable(
-        std::max(environment_.knobs.store_retry, error.retry_after.value_or(Duration(0))));
+        std::max(environment_.knobs.store_retry_delay, error.retry_after.value_or(Duration(0))));
   }
   forward();
   if (last && !forwarding_) {
@@ -315,12 +317,13 @@
   }
 }
 
-// A caller that has left sends the job to other nodes and gets its answer from them, which may be a
-// refusal: no write or hand-over that could accept the job may begin here any more.
-bool JobSubmit::end_if_deserted() {
+// A caller that has disconnected submits the job to other nodes, whose answer may be a refusal:
+// this node must not start any further write or forwarding that could accept the job.
+bool JobSubmit::finish_if_caller_left() {
   const bool deserted = submission_.caller_left && *submission_.caller_left;
   if (deserted) {
-    finish(tl::unexpected(maybe_run(ErrorKind::kCancelled, "the caller left before its answer",
+    finish(tl::unexpected(maybe_run(ErrorKind::kCancelled,
+                                    "the caller disconnected before it was answered",
                                     "send the job again under the same id")));
   }
   return deserted;
@@ -336,15 +339,15 @@
 }
 
 void JobSubmit::give_up() {
-  if (may_be_applied_ || peer_may_have_taken_) {
+  if (may_be_applied_ || peer_may_have_accepted_) {
     finish(tl::unexpected(maybe_run(ErrorKind::kOutcomeUnknown,
-                                    "neither the store nor a peer said whether it took the job",
+                                    "neither the store nor a peer reported the outcome",
                                     "send the job again under the same id")));
     return;
   }
   Error refused =
       not_run(ErrorKind::kStoreUnavailable, "the job was not accepted: " + last_error_->message,
-              "send it again after the time given");
+              "send it again after the given delay");
   refused.retry_after = environment_.serving.knobs.retry_after;
   finish(tl::unexpected(std::move(refused)));
 }
--- a/src/jobs/owned_job.cc
+++ b/src/jobs/owned_job.cc
@@ -59,10 +59,10 @@
   if (item.phase == Phase::kRunning) {
     ran += environment_.serving.time_source.monotonic_now() - item.started;
   }
-  // However long it ran, its end is not known.
-  constexpr int kLeastPart = 8;
+  // The remaining time stays positive even after a run has exceeded the estimate.
+  constexpr int kMinRemainingDivisor = 8;
   const Duration pace = environment_.pace.estimate();
-  const Duration needed = std::max(pace - ran, pace / kLeastPart);
+  const Duration needed = std::max(pace - ran, pace / kMinRemainingDivisor);
   return due() - environment_.clock.now() - needed;
 }
 
@@ -75,8 +75,8 @@
   return soon ? batch_urgency::kUrgent : batch_urgency::kNormal;
 }
 
-// A quarantined item waits until its next trial or until its retention time is over: no other
-// result may be listed for it. Only the owner of its job runs it, so the owner makes the trial.
+// A quarantined item waits until its next trial or until its retention has passed: no other result
+// may be listed for it. Only the owner of its job runs it, so the owner also runs the trial.
 bool OwnedJob::is_held(const Item& item) const {
   const run_permit permit = environment_.serving.quarantine.permit_owned(item.request.digest);
   return permit == run_permit::kQuarantined || permit == run_permit::kWait;
@@ -98,11 +98,11 @@
 }
 
 std::optional<Duration> OwnedJob::next_slack() const {
-  const std::optional<size_t> next = lost_ ? std::nullopt : next_waiting();
+  const std::optional<size_t> next = ownership_lost_ ? std::nullopt : next_waiting();
   return next ? std::optional(slack_of(items_[*next])) : std::nullopt;
 }
 
-std::optional<OwnedJob::Preemptible> OwnedJob::first_to_yield(const AtWorker& at) const {
+std::optional<OwnedJob::Preemptible> OwnedJob::first_to_preempt(const AtWorker& at) const {
   std::optional<Preemptible> first;
   for (size_t index = 0; index < items_.size(); ++index) {
     const Item& item = items_[index];
@@ -125,7 +125,7 @@
   --running_;
   item.phase = Phase::kWaiting;
   item.ran += now - item.started;
-  item.not_before = now + environment_.knobs.preemption_pause;
+  item.not_before = now + environment_.knobs.preempted_item_delay;
   environment_.serving.logger.write(
       LogLevel::kInfo, "item_preempted",
       {{"job", caller_job_id(record_.id)},
@@ -135,13 +135,13 @@
 
 bool OwnedJob::start_item() {
   const RouteTablePtr table = environment_.routes.current();
-  const std::optional<size_t> next = lost_ || !table ? std::nullopt : next_waiting();
+  const std::optional<size_t> next = ownership_lost_ || !table ? std::nullopt : next_waiting();
   Item* item = next ? &items_[*next] : nullptr;
   const Route* route = item == nullptr ? nullptr : route_of(*table, *item);
   if (route == nullptr) {
     return false;
   }
-  if (item->failures.used_up(attempts_of(*item))) {
+  if (item->failures.used_up(max_attempts_of(*item))) {
     end_item(*item, ItemState::kErrored);
     return true;
   }
@@ -169,8 +169,8 @@
   return true;
 }
 
-// By what right the item goes to a worker: which adoption of the job, and how old what this node
-// knows of the job is.
+// Logs on what basis the item was started: the owner and epoch of the job, and the age of this
+// node's view of it.
 void OwnedJob::log_start(const Item& item, uint64_t configuration) const {
   const Duration view_age = environment_.view_age();
   environment_.serving.logger.write(
@@ -198,7 +198,7 @@
   environment_.serving.dispatcher.post([run = std::shared_ptr<JobItemRun>(std::move(item.run))] {});
   --running_;
   item.ran += environment_.serving.time_source.monotonic_now() - item.started;
-  if (lost_) {
+  if (ownership_lost_) {
     return;
   }
   if (end == JobItemRunEnd::kCompleted) {
@@ -208,23 +208,23 @@
   }
   log_failed_run(item, worker, end, reason);
   if (end == JobItemRunEnd::kBroken) {
-    wait_again(item);
+    requeue_item(item);
   } else {
     record_failed_run(
         index, end == JobItemRunEnd::kFailed ? run_failure::kFailed : run_failure::kImpossible);
   }
 }
 
-uint32_t OwnedJob::attempts_of(const Item& item) const {
+uint32_t OwnedJob::max_attempts_of(const Item& item) const {
   const RouteTablePtr table = environment_.routes.current();
   const Route* route = table ? route_of(*table, item) : nullptr;
   return route == nullptr ? 1 : std::max(route->attempts, 1U);
 }
 
-void OwnedJob::wait_again(Item& item) {
+void OwnedJob::requeue_item(Item& item) {
   item.phase = Phase::kWaiting;
   item.not_before =
-      environment_.serving.time_source.monotonic_now() + environment_.knobs.item_pause;
+      environment_.serving.time_source.monotonic_now() + environment_.knobs.item_retry_delay;
 }
 
 void OwnedJob::record_failed_run(size_t index, run_failure failure) {
@@ -238,10 +238,10 @@
                      --recording_;
                      Item& recorded = items_[index];
                      recorded.failures = failures;
-                     if (failures.used_up(attempts_of(recorded))) {
+                     if (failures.used_up(max_attempts_of(recorded))) {
                        end_item(recorded, ItemState::kErrored);
                      } else {
-                       wait_again(recorded);
+                       requeue_item(recorded);
                      }
                    }));
 }
@@ -276,9 +276,9 @@
   commit_later();
 }
 
-void OwnedJob::give_up_hopeless() {
+void OwnedJob::fail_unrunnable_items() {
   const RouteTablePtr table = environment_.routes.current();
-  if (lost_ || !table) {
+  if (ownership_lost_ || !table) {
     return;
   }
   for (Item& item : items_) {
@@ -288,23 +288,23 @@
     const Route* route = route_of(*table, item);
     const bool too_old = route != nullptr && route->retention > Duration(0) &&
                          environment_.clock.now() - record_.accepted > route->retention;
-    const bool used_up = item.failures.used_up(attempts_of(item));
+    const bool used_up = item.failures.used_up(max_attempts_of(item));
     if (route == nullptr || too_old || used_up) {
       environment_.serving.logger.write(LogLevel::kInfo, "item_given_up",
                                         {{"job", caller_job_id(record_.id)},
                                          {"request", item.request.id},
                                          {"configuration", std::to_string(table->version())},
                                          {"failures", std::to_string(item.failures.failed())},
-                                         {"reason", used_up   ? "its attempts are used up"
-                                                    : too_old ? "too old"
-                                                              : "its route is gone"}});
+                                         {"reason", used_up   ? "its attempts are exhausted"
+                                                    : too_old ? "its retention has passed"
+                                                              : "its route was removed"}});
       end_item(item, ItemState::kErrored);
     }
   }
 }
 
 void OwnedJob::checkpoint_later() {
-  if (!lost_ && !checkpoint_timer_->enabled()) {
+  if (!ownership_lost_ && !checkpoint_timer_->enabled()) {
     checkpoint_timer_->enable(environment_.knobs.checkpoint_interval);
   }
 }
@@ -316,16 +316,17 @@
   transaction.conditions.push_back({stored_job_key(record_.id), version_});
   size_t bytes = 0;
   size_t next = first;
-  for (; next < items_.size() && transaction.writes.size() < environment_.knobs.most_checkpoints;
+  for (; next < items_.size() &&
+         transaction.writes.size() < environment_.knobs.max_checkpoints_per_commit;
        ++next) {
     Item& item = items_[next];
     const ItemProgress& progress = item.progress;
     const bool advanced = progress.last_event && progress.last_event != item.recorded_event;
     const size_t size = progress.text.size();
-    if (item.phase == Phase::kEnded || !advanced || size > environment_.knobs.most_row_bytes) {
+    if (item.phase == Phase::kEnded || !advanced || size > environment_.knobs.max_row_bytes) {
       continue;
     }
-    if (bytes + size > environment_.knobs.most_bytes_a_commit) {
+    if (bytes + size > environment_.knobs.max_bytes_per_commit) {
       break;
     }
     bytes += size;
@@ -333,20 +334,20 @@
     transaction.writes.push_back(
         {job_progress_key(record_.id, item.request.id), encode_item_progress(progress)});
   }
-  if (lost_ || transaction.writes.empty()) {
+  if (ownership_lost_ || transaction.writes.empty()) {
     done();
     return;
   }
-  // A lost checkpoint is no loss: the next one holds more. One that comes late is refused with its
-  // epoch, or holds less than was there, which costs work and nothing else. A refusal tells that
-  // the record has changed: often before the table's followers hear of it.
+  // A lost checkpoint does no harm: the next one contains more. One that is applied late is
+  // rejected because of its epoch, or replaces a newer one, which only costs repeated work. A
+  // rejection shows that the record has changed, often before the table's watchers see the change.
   const MonotonicTime sent = environment_.serving.time_source.monotonic_now();
   environment_.store.commit(std::move(transaction),
                             lifetime_.guard([this, next, sent, done = std::move(done)](
                                                 const Expected<StoreCommit>& commit) {
                               if (commit && commit->committed) {
                                 confirmed_ = std::max(confirmed_, sent);
-                              } else if (commit && !lost_) {
+                              } else if (commit && !ownership_lost_) {
                                 handle_refused_checkpoint(*commit);
                               }
                               if (commit && next < items_.size()) {
@@ -364,16 +365,16 @@
 }
 
 void OwnedJob::commit() {
-  if (lost_ || (committing_.empty() && pending_.empty())) {
+  if (ownership_lost_ || (committing_.empty() && pending_.empty())) {
     return;
   }
   if (committing_.empty()) {
     size_t bytes = 0;
     size_t count = 0;
-    while (count < pending_.size() && count < environment_.knobs.most_results_a_commit &&
+    while (count < pending_.size() && count < environment_.knobs.max_results_per_commit &&
            (count == 0 ||
-            bytes + pending_[count].text.size() <= environment_.knobs.most_bytes_a_commit)) {
-      bytes += std::min(pending_[count++].text.size(), environment_.knobs.most_row_bytes);
+            bytes + pending_[count].text.size() <= environment_.knobs.max_bytes_per_commit)) {
+      bytes += std::min(pending_[count++].text.size(), environment_.knobs.max_row_bytes);
     }
     const auto end = pending_.begin() + static_cast<ptrdiff_t>(count);
     committing_.assign(std::make_move_iterator(pending_.begin()), std::make_move_iterator(end));
@@ -385,7 +386,7 @@
 
 void OwnedJob::put_large_results(size_t index, std::function<void()> then) {
   while (index < committing_.size() &&
-         committing_[index].text.size() <= environment_.knobs.most_row_bytes) {
+         committing_[index].text.size() <= environment_.knobs.max_row_bytes) {
     ++index;
   }
   if (index == committing_.size()) {
@@ -398,7 +399,7 @@
       std::make_shared<const std::string>(committing_[index].text),
       lifetime_.guard([this, index, then = std::move(then)](const Expected<std::monostate>& put) {
         if (!put) {
-          commit_timer_->enable(environment_.knobs.store_retry);
+          commit_timer_->enable(environment_.knobs.store_retry_delay);
           return;
         }
         put_large_results(index + 1, then);
@@ -406,7 +407,7 @@
 }
 
 void OwnedJob::send_commit() {
-  if (lost_) {
+  if (ownership_lost_) {
     return;
   }
   StoreTransaction transaction;
@@ -415,7 +416,7 @@
   transaction.conditions.push_back({job_result_key(record_.id, position), 0});
   for (const JobResult& result : committing_) {
     JobResult stored = result;
-    if (result.text.size() > environment_.knobs.most_row_bytes) {
+    if (result.text.size() > environment_.knobs.max_row_bytes) {
       stored.in_object = true;
       stored.text = result_object_name(record_, position);
     }
@@ -447,16 +448,16 @@
 }
 
 void OwnedJob::handle_commit(const Expected<StoreCommit>& commit) {
-  if (lost_) {
+  if (ownership_lost_) {
     return;
   }
   if (!commit) {
-    // Applied or not: the same transaction again tells, because its conditions fail if it was.
+    // Sending the same transaction again shows whether it was applied: its conditions fail if so.
     environment_.serving.logger.write(
         LogLevel::kInfo, "results_not_committed",
         {{"job", caller_job_id(record_.id)}, {"reason", commit.error().message}});
-    commit_timer_->enable(
-        std::max(environment_.knobs.store_retry, commit.error().retry_after.value_or(Duration(0))));
+    commit_timer_->enable(std::max(environment_.knobs.store_retry_delay,
+                                   commit.error().retry_after.value_or(Duration(0))));
     return;
   }
   if (commit->committed) {
@@ -466,67 +467,68 @@
   handle_conflict(*commit);
 }
 
-// @return the row of that table among those that a refused transaction tells, or null.
+// @return the row of that table among those that a rejected transaction returns, or null.
 const StoredRow* OwnedJob::row_of(const StoreCommit& refused, const char* table) {
   const auto found = std::find_if(refused.current.begin(), refused.current.end(),
                                   [table](const StoredRow& row) { return row.key.table == table; });
   return found == refused.current.end() ? nullptr : &*found;
 }
 
-OwnedJob::Standing OwnedJob::standing_by(const StoredRow* record) const {
+OwnedJob::Ownership OwnedJob::ownership_from(const StoredRow* record) const {
   if (record == nullptr || record->version == version_) {
-    return Standing::kOwned;
+    return Ownership::kOwned;
   }
   if (record->version == 0) {
-    return Standing::kGone;
+    return Ownership::kGone;
   }
   const Expected<StoredJob> now = decode_job_record(record_.id, record->value);
   if (!now || now->owner != record_.owner || now->epoch != record_.epoch) {
-    return Standing::kSuperseded;
+    return Ownership::kSuperseded;
   }
-  return now->ended      ? Standing::kEnded
-         : now->finished ? Standing::kFinished
-                         : Standing::kSuperseded;  // nobody but this adoption writes it otherwise
+  return now->ended      ? Ownership::kEnded
+         : now->finished ? Ownership::kFinished
+                         : Ownership::kSuperseded;  // no other writer keeps owner and epoch
 }
 
-const char* OwnedJob::name_of(Standing standing) {
-  switch (standing) {
-    case Standing::kEnded:
+const char* OwnedJob::name_of(Ownership ownership) {
+  switch (ownership) {
+    case Ownership::kEnded:
       return "ended by its caller";
-    case Standing::kGone:
-      return "its record is gone";
-    case Standing::kOwned:
-    case Standing::kFinished:
-    case Standing::kSuperseded:
+    case Ownership::kGone:
+      return "its record was removed";
+    case Ownership::kOwned:
+    case Ownership::kFinished:
+    case Ownership::kSuperseded:
       break;
   }
   return "superseded by another owner";
 }
 
 void OwnedJob::handle_refused_checkpoint(const StoreCommit& refused) {
-  const Standing standing = standing_by(row_of(refused, kStoredJobTable));
-  // Finished: by a commit of this very adoption whose answer is still to come.
-  if (standing != Standing::kOwned && standing != Standing::kFinished) {
-    lose(standing);
+  const Ownership ownership = ownership_from(row_of(refused, kStoredJobTable));
+  // kFinished: a commit of this ownership finished the job, and its answer is still pending.
+  if (ownership != Ownership::kOwned && ownership != Ownership::kFinished) {
+    lose_ownership(ownership);
   }
 }
 
 void OwnedJob::handle_conflict(const StoreCommit& commit) {
   const StoredRow* record = row_of(commit, kStoredJobTable);
   const StoredRow* result = row_of(commit, kStoredResultTable);
-  // Only the very bytes of this transaction prove that an earlier send of it was applied.
+  // Only a result with exactly the bytes of this transaction proves that an earlier attempt was
+  // applied.
   const bool applied =
       result != nullptr && result->version > 0 && result->value == first_committing_value_;
-  const Standing standing = standing_by(record);
-  if (applied && record != nullptr && standing == Standing::kOwned) {
+  const Ownership ownership = ownership_from(record);
+  if (applied && record != nullptr && ownership == Ownership::kOwned) {
     accept_commit(result->version);
     return;
   }
-  if (applied && standing == Standing::kFinished && commit_finishes_) {
+  if (applied && ownership == Ownership::kFinished && commit_finishes_) {
     accept_commit(record->version);
     return;
   }
-  lose(standing);
+  lose_ownership(ownership);
 }
 
 void OwnedJob::accept_commit(StoreVersion version) {
@@ -557,7 +559,7 @@
 }
 
 void OwnedJob::cancel(bool ended) {
-  lost_ = true;
+  ownership_lost_ = true;
   if (ended) {
     environment_.serving.metrics
         .counter("chalkshed_items_stopped_after_end_total",
@@ -576,9 +578,9 @@
   }
 }
 
-void OwnedJob::lose(Standing standing) {
-  cancel(standing == Standing::kEnded);
-  on_lost_(name_of(standing));
+void OwnedJob::lose_ownership(Ownership ownership) {
+  cancel(ownership == Ownership::kEnded);
+  on_lost_(name_of(ownership));
 }
 
 void OwnedJob::on_next_commit(std::function<void()> callback) {
--- a/src/jobs/result_reader.cc
+++ b/src/jobs/result_reader.cc
@@ -8,13 +8,13 @@
 namespace chalkshed {
 namespace {
 
-// What one answer holds, at the usual size of a result.
-constexpr uint32_t kMostResults = 60;
+// About as many results of usual size as fit one response.
+constexpr uint32_t kMaxResults = 60;
 
 }  // namespace
 
-bool ResultPage::add(JobResult result, size_t most_bytes) {
-  if (!results.empty() && bytes_ + result.text.size() > most_bytes) {
+bool ResultPage::add(JobResult result, size_t max_bytes) {
+  if (!results.empty() && bytes_ + result.text.size() > max_bytes) {
     return false;
   }
   bytes_ += result.text.size();
@@ -23,10 +23,10 @@
   return true;
 }
 
-bool ResultPage::replace(size_t index, std::string text, size_t most_bytes) {
+bool ResultPage::replace(size_t index, std::string text, size_t max_bytes) {
   JobResult& result = results[index];
   const size_t bytes = bytes_ - result.text.size() + text.size();
-  if (index > 0 && bytes > most_bytes) {
+  if (index > 0 && bytes > max_bytes) {
     next -= static_cast<uint32_t>(results.size() - index);
     results.resize(index);
     return false;
@@ -40,7 +40,7 @@
 void ResultReader::read(const StoredJob& record, uint32_t from, Duration wait,
                         Callback<ResultPage> callback) {
   environment_.store.read_range(
-      job_result_range(record.id, from, kMostResults),
+      job_result_range(record.id, from, kMaxResults),
       lifetime_.guard([this, record, from, wait,
                        callback = std::move(callback)](const Expected<RangePage>& rows) {
         if (!rows) {
@@ -56,7 +56,7 @@
             callback(tl::unexpected(result.error()));
             return;
           }
-          if (!page->add(std::move(*result), environment_.knobs.most_answer_bytes)) {
+          if (!page->add(std::move(*result), environment_.knobs.max_response_bytes)) {
             break;
           }
         }
@@ -89,7 +89,7 @@
           callback(tl::unexpected(text.error()));
           return;
         }
-        if (!page->replace(index, **text, environment_.knobs.most_answer_bytes)) {
+        if (!page->replace(index, **text, environment_.knobs.max_response_bytes)) {
           callback(std::move(*page));
           return;
         }
--- a/tests/jobs/cluster_troubles.h
+++ b/tests/jobs/cluster_troubles.h
@@ -1,6 +1,6 @@
-// What can happen to nodes and to the store around a job, drawn at random, for property tests:
-// losses and restarts, nodes that do not hear each other or are frozen, a store that is silent,
-// refuses, answers late, loses its answers or does writes seconds later.
+// Random faults of nodes and of the store, for property tests of jobs: crashes and restarts, nodes
+// that are partitioned or suspended, and a store that does not answer, refuses calls, answers late,
+// loses its answers or applies writes seconds later.
 #pragma once
 
 #include <rapidcheck.h>
@@ -24,7 +24,7 @@
   kApplyLate,
   kStoreSound,
   kPlannedStop,
-  kLast,  // of those that disturb; what follows is up to the test, or disturbs too
+  kLast,  // end of the events that any_step(kLast) draws; tests may draw the following ones too
   kStoreSlow = kLast,
   kStoreHoldsChanges,
   kSend,
@@ -38,14 +38,14 @@
   Duration then{0};
 };
 
-// rapidcheck shows a failing sequence by it.
+// rapidcheck prints failing sequences with this function.
 // NOLINTNEXTLINE(readability-identifier-naming)
 inline void showValue(const Step& step, std::ostream& out) {
   out << "event " << static_cast<int>(step.event) << " at n" << step.node << ", then "
       << step.then / milliseconds(1) << " ms";
 }
 
-// @param end of the events that are drawn from.
+// @param end of the range of events to draw from, exclusive.
 inline rc::Gen<Step> any_step(Event end) {
   return rc::gen::apply(
       [](int event, int node, int wait) {
@@ -57,13 +57,13 @@
 
 class ClusterTroubles {
  public:
-  // @param restart_after between the end of a planned stop and the next start.
+  // @param restart_after delay between the end of a planned stop and the restart.
   ClusterTroubles(ServingCluster& cluster, Duration restart_after)
       : cluster_(cluster), restart_after_(restart_after) {}
 
-  // How often a node was lost.
+  // How many times a node was lost.
   size_t losses() const { return losses_; }
-  // Does what the step says, but for events of the test that uses it.
+  // Applies the step; kSend and kEnd are left to the test.
   void take(const Step& step) {
     const std::string name = "n" + std::to_string(step.node);
     ClusterNode* node = cluster_.nodes[name].get();
@@ -82,7 +82,7 @@
         break;
       case Event::kPlannedStop:
         if (node != nullptr) {
-          // It may be killed before all it knows is stored.
+          // It may be killed before everything it knows is stored.
           ++losses_;
           node->node.begin_drain([this, name] {
             call_after(cluster_.loop, restart_after_, [this, name] { cluster_.start_node(name); });
--- a/tests/jobs/ended_job_fixture.h
+++ b/tests/jobs/ended_job_fixture.h
@@ -1,4 +1,4 @@
-// A job in a serving cluster that is ended, and how many of its items begin at workers too late.
+// Ends a job in a serving cluster and counts the items that start at workers too late afterwards.
 #pragma once
 
 #include <algorithm>
@@ -7,19 +7,21 @@
 
 namespace chalkshed {
 
-// The users' bound: from the acknowledged end of a job to the last item that begins at a worker.
+// The required bound from the acknowledged end of a job to the last item that starts at a worker.
 inline constexpr Duration kCancelBound = seconds(3);
 
 class EndedJobFixture : public testing::Test {
  protected:
   void submit(ServingCluster& cluster, const std::string& node, size_t items) {
-    cluster.node(node).jobs().submit(
-        cluster.job("j1", items),
-        [&](const Expected<std::monostate>& told) { accepted_ = accepted_ || told.has_value(); });
+    cluster.node(node).jobs().submit(cluster.job("j1", items),
+                                     [&](const Expected<std::monostate>& result) {
+                                       accepted_ = accepted_ || result.has_value();
+                                     });
   }
 
-  // A job whose items run for a quarter of a second each, a few at a time, for over ten seconds.
-  void begin_job(ServingCluster& cluster, size_t items = 200) {
+  // Starts a job whose items run for a quarter of a second each, a few at a time, for over ten
+  // seconds in total.
+  void start_job(ServingCluster& cluster, size_t items = 200) {
     cluster.answer_all(5, milliseconds(50));
     submit(cluster, "n0", items);
     cluster.clock.run_for(milliseconds(600));
@@ -27,11 +29,11 @@
     ASSERT_GT(cluster.workers.calls.size(), 0U);
   }
 
-  // Ends the job at that node. @return when the end was acknowledged.
+  // Ends the job at that node. @return the time at which the end was acknowledged.
   MonotonicTime end_job(ServingCluster& cluster, const std::string& node) {
     std::optional<MonotonicTime> acknowledged;
-    cluster.node(node).jobs().end("j1", [&](const Expected<std::monostate>& told) {
-      if (told) {
+    cluster.node(node).jobs().end("j1", [&](const Expected<std::monostate>& result) {
+      if (result) {
         acknowledged = cluster.clock.monotonic_now();
       }
     });
@@ -42,9 +44,9 @@
     return acknowledged.value_or(cluster.clock.monotonic_now());
   }
 
-  // How many items begin at workers from the bound on, within that time.
-  size_t items_begun_beyond_bound(ServingCluster& cluster, MonotonicTime acknowledged,
-                                  Duration watched = seconds(5)) {
+  // How many items start at workers after the bound, within the watched time.
+  size_t items_started_after_bound(ServingCluster& cluster, MonotonicTime acknowledged,
+                                   Duration watched = seconds(5)) {
     const Duration left = acknowledged + kCancelBound - cluster.clock.monotonic_now();
     cluster.clock.run_for(std::max(left, Duration(0)));
     const size_t before = cluster.workers.calls.size();
--- a/tests/jobs/ended_job_property_test.cc
+++ b/tests/jobs/ended_job_property_test.cc
@@ -1,6 +1,6 @@
-// Random sequences around a job that its caller sends, sends again to other nodes and ends, whether
-// or not it has heard of the acceptance, while nodes and store are disturbed. An acknowledged end
-// and a refusal hold whatever the owner of the job knows of the store.
+// Random sequences in which a caller submits a job, resubmits it to other nodes and ends it, with
+// or without having received the acceptance, while nodes and the store fail. An acknowledged end
+// and a refusal hold whatever the owner of the job has read from the store.
 #include <gtest/gtest.h>
 
 #include <rapidcheck.h>
@@ -15,18 +15,19 @@
 constexpr Duration kStep = milliseconds(150);
 constexpr uint64_t kEvents = 6;
 constexpr size_t kItems = 150;
-constexpr int kMostSteps = 10;
+constexpr int kMaxSteps = 10;
 constexpr Duration kSettleTime = seconds(12);
 
-class PromisesRun {
+class JobPromisesScenario {
  public:
-  // @param notices arrive at the owner; else only the age of its view keeps the promise.
-  explicit PromisesRun(bool notices) {
+  // @param notices whether they arrive at the owner; otherwise only the age limit of its view
+  // prevents late starts.
+  explicit JobPromisesScenario(bool notices) {
     cluster_.peers_answer = notices;
     cluster_.answer_all(kEvents, kStep);
     const auto answer = cluster_.workers.on_call;
     cluster_.workers.on_call = [this, answer](ScriptedCall& call) {
-      check_begin(call);
+      check_start(call);
       answer(call);
     };
   }
@@ -46,15 +47,15 @@
       cluster_.clock.run_for(step.then);
     }
     end("n1");
-    // What was disturbed stays so until long after the bound.
+    // The faults persist until well after the bound.
     cluster_.clock.run_for(kCancelBound + seconds(3));
     troubles_.heal();
     cluster_.clock.run_for(kSettleTime);
-    RC_ASSERT(!began_ || !refused_at_each_send());
+    RC_ASSERT(!started_ || !refused_at_each_send());
   }
 
  private:
-  enum class SendEnd { kNothingHeard, kAccepted, kRefused, kUnknown };
+  enum class SendEnd { kNoAnswer, kAccepted, kRefused, kUnknown };
 
   bool alive(const std::string& node) const { return cluster_.nodes.at(node) != nullptr; }
 
@@ -62,15 +63,15 @@
     if (!alive(node)) {
       return;
     }
-    // Whoever sends it after its end wants it again.
+    // A submission after the end is a new request for the job.
     ended_.reset();
     const size_t number = sends_.size();
-    sends_.push_back(SendEnd::kNothingHeard);
+    sends_.push_back(SendEnd::kNoAnswer);
     cluster_.node(node).jobs().submit(
-        cluster_.job("j1", kItems), [this, number](const Expected<std::monostate>& told) {
-          sends_[number] = told                           ? SendEnd::kAccepted
-                           : told.error().ran == Ran::kNo ? SendEnd::kRefused
-                                                          : SendEnd::kUnknown;
+        cluster_.job("j1", kItems), [this, number](const Expected<std::monostate>& result) {
+          sends_[number] = result                           ? SendEnd::kAccepted
+                           : result.error().ran == Ran::kNo ? SendEnd::kRefused
+                                                            : SendEnd::kUnknown;
         });
   }
 
@@ -79,16 +80,16 @@
       return;
     }
     const size_t sends = sends_.size();
-    cluster_.node(node).jobs().end("j1", [this, sends](const Expected<std::monostate>& told) {
-      const bool holds = told || told.error().kind == ErrorKind::kNotFound;
-      if (holds && sends == sends_.size() && !ended_) {
+    cluster_.node(node).jobs().end("j1", [this, sends](const Expected<std::monostate>& result) {
+      const bool acknowledged = result || result.error().kind == ErrorKind::kNotFound;
+      if (acknowledged && sends == sends_.size() && !ended_) {
         ended_ = cluster_.clock.monotonic_now();
       }
     });
   }
 
-  void check_begin(const ScriptedCall& /*call*/) {
-    began_ = true;
+  void check_start(const ScriptedCall& /*call*/) {
+    started_ = true;
     const MonotonicTime now = cluster_.clock.monotonic_now();
     RC_ASSERT(!ended_ || now - *ended_ <= kCancelBound);
   }
@@ -102,27 +103,28 @@
   ClusterTroubles troubles_{cluster_, kStep};
   std::vector<SendEnd> sends_;
   std::optional<MonotonicTime> ended_;
-  bool began_ = false;
+  bool started_ = false;
 };
 
-RC_GTEST_PROP(JobPromisesProperty, EndsAndRefusalsHoldWhateverTheOwnerKnowsOfTheStore, ()) {
-  const int count = *rc::gen::inRange(0, kMostSteps + 1);
+RC_GTEST_PROP(JobPromisesProperty, EndsAndRefusalsHoldWhateverTheOwnerHasReadFromTheStore, ()) {
+  const int count = *rc::gen::inRange(0, kMaxSteps + 1);
   const auto steps =
       *rc::gen::container<std::vector<Step>>(static_cast<size_t>(count), any_step(Event::kCount));
-  PromisesRun(true).run(steps);
+  JobPromisesScenario(true).run(steps);
 }
 
-// Calls between nodes are lost, their datagrams are not. A store that then falls silent for all
-// right behind the end is left out: nobody can tell the owner, and it takes the store for away.
-RC_GTEST_PROP(JobPromisesProperty, AnOwnerThatNobodyTellsKeepsThemByTheAgeOfItsView, ()) {
-  const int count = *rc::gen::inRange(0, kMostSteps + 1);
+// Calls between nodes are lost, their datagrams are not. Excluded is a store that stops answering
+// all nodes right after the end: then nothing can notify the owner, which takes the store to be
+// down for all.
+RC_GTEST_PROP(JobPromisesProperty, WithoutNoticesTheAgeOfTheOwnersViewEnforcesThem, ()) {
+  const int count = *rc::gen::inRange(0, kMaxSteps + 1);
   auto steps =
       *rc::gen::container<std::vector<Step>>(static_cast<size_t>(count), any_step(Event::kCount));
   for (Step& step : steps) {
     const bool away = step.event == Event::kStoreSilent || step.event == Event::kStoreDown;
     step.event = away ? Event::kCutFromStore : step.event;
   }
-  PromisesRun(false).run(steps);
+  JobPromisesScenario(false).run(steps);
 }
 
 }  // namespace
--- a/tests/jobs/job_service_test.cc
+++ b/tests/jobs/job_service_test.cc
@@ -19,7 +19,7 @@
                                            [&](const Expected<ResultPage>& read) { page = read; });
     cluster.clock.run_for(milliseconds(100));
     if (!page || !*page) {
-      ADD_FAILURE() << "results cannot be read: "
+      ADD_FAILURE() << "failed to read results: "
                     << (page ? page->error().message : std::string("no answer"));
       return results;
     }
@@ -55,7 +55,7 @@
   }
 }
 
-TEST(JobServiceTest, AReadThatWaitsIsAnsweredUponTheNextCommitOrAfterItsTime) {
+TEST(JobServiceTest, AWaitingReadIsAnsweredOnTheNextCommitOrAfterItsTimeout) {
   ServingCluster cluster(1);
   cluster.answer_all(3, milliseconds(400));
   ASSERT_TRUE(submit(cluster, "n0", cluster.job("j1", 1)));
@@ -77,7 +77,7 @@
   EXPECT_EQ(results, 1U);
 }
 
-// Whether every item of the job is listed exactly once, completed, with its whole text.
+// Expects every item of the job to be listed exactly once, as completed and with its full text.
 void expect_complete(ServingCluster& cluster, const std::string& node, const std::string& job,
                      size_t items, const std::string& text) {
   const std::vector<JobResult> results = read_all(cluster, node, job);
@@ -91,7 +91,7 @@
   EXPECT_EQ(ids.size(), items);
 }
 
-TEST(JobServiceTest, AJobThatIsSentAgainIsTakenOnce) {
+TEST(JobServiceTest, AResubmittedJobIsAcceptedOnce) {
   ServingCluster cluster(2);
   cluster.answer_all(2, milliseconds(20));
   ASSERT_TRUE(submit(cluster, "n0", cluster.job("j1", 3)));
@@ -133,7 +133,7 @@
   }
 }
 
-TEST(JobServiceTest, AnOwnerThatWakesAfterATakeoverListsNothing) {
+TEST(JobServiceTest, AnOwnerThatResumesAfterATakeoverListsNothing) {
   ServingCluster cluster(2, 2);
   cluster.answer_all(2, milliseconds(150));
   ASSERT_TRUE(submit(cluster, "n0", cluster.job("j1", 20)));
@@ -146,9 +146,9 @@
   expect_complete(cluster, "n1", "j1", 20, "d1\nd2");
 }
 
-// A commit whose answer was lost may be applied seconds later, behind the back of a node that has
-// given the job up and taken it again.
-TEST(JobServiceTest, ACommitThatIsAppliedLateDoublesNothing) {
+// A commit whose answer was lost may be applied seconds later, after its node has dropped the job
+// and taken it over again.
+TEST(JobServiceTest, ACommitThatIsAppliedLateDuplicatesNothing) {
   ServingCluster cluster(2, 2);
   cluster.answer_all(2, milliseconds(60));
   ASSERT_TRUE(submit(cluster, "n0", cluster.job("j1", 20)));
@@ -163,7 +163,7 @@
   expect_complete(cluster, "n0", "j1", 20, "d1\nd2");
 }
 
-TEST(JobServiceTest, LostAnswersOfTheStoreNeitherLoseNorDoubleResults) {
+TEST(JobServiceTest, LostStoreAnswersNeitherLoseNorDuplicateResults) {
   ServingCluster cluster(2, 2);
   cluster.answer_all(2, milliseconds(60));
   ASSERT_TRUE(submit(cluster, "n0", cluster.job("j1", 12)));
@@ -174,12 +174,12 @@
   expect_complete(cluster, "n1", "j1", 12, "d1\nd2");
 }
 
-TEST(JobServiceTest, WhatTheStoreRefusesIsToldAsNotAcceptedAndNeverRuns) {
+TEST(JobServiceTest, AJobThatTheStoreRefusesIsReportedAsNotAcceptedAndNeverRuns) {
   ServingCluster cluster(1);
   cluster.shared.trouble.down = true;
   std::optional<Expected<std::monostate>> answer;
   cluster.node().jobs().submit(cluster.job("j1", 2),
-                               [&](const Expected<std::monostate>& told) { answer = told; });
+                               [&](const Expected<std::monostate>& result) { answer = result; });
   cluster.clock.run_for(seconds(4));
   ASSERT_TRUE(answer);
   ASSERT_FALSE(*answer);
@@ -190,15 +190,15 @@
   EXPECT_TRUE(cluster.workers.calls.empty());
 }
 
-// The store turns one node away, without a word, and serves the others.
+// The store does not answer one node but serves the others.
 TEST(JobServiceTest, AJobThatANodeCannotStoreIsAcceptedThroughAPeerWithinItsTarget) {
   ServingCluster cluster(3);
   cluster.answer_all(2, milliseconds(20));
   cluster.clock.run_for(seconds(1));
   cluster.nodes.at("n0")->store.set_cut(true);
   std::optional<Expected<std::monostate>> answer;
-  cluster.node("n0").jobs().submit(cluster.job("j1", 2),
-                                   [&](const Expected<std::monostate>& told) { answer = told; });
+  cluster.node("n0").jobs().submit(
+      cluster.job("j1", 2), [&](const Expected<std::monostate>& result) { answer = result; });
   cluster.clock.run_for(milliseconds(300));
   ASSERT_TRUE(answer);
   EXPECT_TRUE(answer->has_value());
@@ -207,14 +207,14 @@
   EXPECT_EQ(cluster.workers.calls.size(), 2U) << "each item ran once";
 }
 
-TEST(JobServiceTest, AJobThatWasHandedOnIsTakenOnceThoughTheFirstNodeStoredItToo) {
+TEST(JobServiceTest, AForwardedJobIsAcceptedOnceThoughTheFirstNodeStoredItToo) {
   ServingCluster cluster(3);
   cluster.answer_all(2, milliseconds(20));
   cluster.clock.run_for(seconds(1));
   cluster.shared.trouble.lose_commits = true;
   std::optional<Expected<std::monostate>> answer;
-  cluster.node("n0").jobs().submit(cluster.job("j1", 3),
-                                   [&](const Expected<std::monostate>& told) { answer = told; });
+  cluster.node("n0").jobs().submit(
+      cluster.job("j1", 3), [&](const Expected<std::monostate>& result) { answer = result; });
   cluster.clock.run_for(milliseconds(100));
   cluster.shared.trouble.lose_commits = false;
   cluster.clock.run_for(seconds(8));
@@ -224,30 +224,30 @@
   EXPECT_EQ(cluster.workers.calls.size(), 3U);
 }
 
-TEST(JobServiceTest, WithoutAPeerThatReachesTheStoreAJobIsHandedToFewAndRefusedTruthfully) {
+TEST(JobServiceTest, WithoutAPeerThatReachesTheStoreAJobIsForwardedToFewAndReportedAsNotRun) {
   ServingCluster cluster(3);
   cluster.clock.run_for(seconds(1));
   cluster.shared.trouble.down = true;
   std::optional<Expected<std::monostate>> answer;
-  cluster.node("n0").jobs().submit(cluster.job("j1", 2),
-                                   [&](const Expected<std::monostate>& told) { answer = told; });
+  cluster.node("n0").jobs().submit(
+      cluster.job("j1", 2), [&](const Expected<std::monostate>& result) { answer = result; });
   cluster.clock.run_for(seconds(4));
   ASSERT_TRUE(answer);
   ASSERT_FALSE(*answer);
   EXPECT_EQ(answer->error().ran, Ran::kNo);
-  EXPECT_LE(cluster.forwarded_jobs, static_cast<int>(JobKnobs().most_hops));
+  EXPECT_LE(cluster.forwarded_jobs, static_cast<int>(JobKnobs().max_hops));
   cluster.shared.trouble.down = false;
   cluster.clock.run_for(seconds(5));
   EXPECT_TRUE(cluster.workers.calls.empty());
 }
 
-TEST(JobServiceTest, AnAcceptanceWhoseAnswerIsLostIsNeverToldAsNotRun) {
+TEST(JobServiceTest, AnAcceptanceWhoseAnswerIsLostIsNeverReportedAsNotRun) {
   ServingCluster cluster(1);
   cluster.answer_all(2, milliseconds(20));
   cluster.shared.trouble.lose_commits = true;
   std::optional<Expected<std::monostate>> answer;
   cluster.node().jobs().submit(cluster.job("j1", 2),
-                               [&](const Expected<std::monostate>& told) { answer = told; });
+                               [&](const Expected<std::monostate>& result) { answer = result; });
   cluster.clock.run_for(seconds(12));
   ASSERT_TRUE(answer);
   EXPECT_TRUE(answer->has_value() || answer->error().ran == Ran::kUnknown);
@@ -263,7 +263,8 @@
   cluster.clock.run_for(milliseconds(1500));
   const size_t listed = read_all(cluster, "n0", "j1").size();
   std::optional<Expected<std::monostate>> ended;
-  cluster.node("n1").jobs().end("j1", [&](const Expected<std::monostate>& told) { ended = told; });
+  cluster.node("n1").jobs().end("j1",
+                                [&](const Expected<std::monostate>& result) { ended = result; });
   cluster.clock.run_for(milliseconds(100));
   ASSERT_TRUE(ended && *ended);
   const size_t calls = cluster.workers.calls.size();
@@ -271,13 +272,14 @@
   EXPECT_EQ(cluster.workers.calls.size(), calls);
   EXPECT_GE(read_all(cluster, "n1", "j1").size(), listed);
   ended.reset();
-  cluster.node("n0").jobs().end("j1", [&](const Expected<std::monostate>& told) { ended = told; });
+  cluster.node("n0").jobs().end("j1",
+                                [&](const Expected<std::monostate>& result) { ended = result; });
   cluster.clock.run_for(milliseconds(100));
   EXPECT_TRUE(ended && *ended) << "ending again succeeds";
 }
 
-// The acceptance is settled only seconds after the store had it; meanwhile the caller has sent the
-// job elsewhere and ended it there.
+// A node learns only seconds later that its acceptance was stored; meanwhile the caller has
+// submitted the job to another node and ended it there.
 TEST(JobServiceTest, AJobThatWasEndedBeforeItsAcceptanceWasSettledStartsNothing) {
   ServingCluster cluster(2);
   cluster.answer_all(2, milliseconds(20));
@@ -287,7 +289,8 @@
   cluster.shared.trouble.lose_commits = false;
   ASSERT_TRUE(submit(cluster, "n1", cluster.job("j1", 3)));
   std::optional<Expected<std::monostate>> ended;
-  cluster.node("n1").jobs().end("j1", [&](const Expected<std::monostate>& told) { ended = told; });
+  cluster.node("n1").jobs().end("j1",
+                                [&](const Expected<std::monostate>& result) { ended = result; });
   cluster.clock.run_for(milliseconds(100));
   ASSERT_TRUE(ended && *ended);
   cluster.clock.run_for(seconds(8));
@@ -324,7 +327,7 @@
   EXPECT_EQ(cluster.workers.calls.size(), 1U);
 }
 
-TEST(JobServiceTest, ABrokenRunGoesOnBehindItsLastEvent) {
+TEST(JobServiceTest, AnInterruptedRunResumesAfterItsLastEvent) {
   ServingCluster cluster(1);
   cluster.workers.on_call = [&](ScriptedCall& call) {
     call_after(cluster.loop, milliseconds(20), [&call] {
@@ -343,7 +346,7 @@
   expect_complete(cluster, "n0", "j1", 1, "d1\nd2");
 }
 
-TEST(JobServiceTest, LargeContentsAndTextsLieInObjects) {
+TEST(JobServiceTest, LargeContentsAndTextsAreStoredInObjects) {
   ServingCluster cluster(2);
   cluster.workers.on_call = [&](ScriptedCall& call) {
     call_after(cluster.loop, milliseconds(20), [&call] {
@@ -360,14 +363,14 @@
                                          [&](const auto& read) { page = read; });
   cluster.clock.run_for(milliseconds(200));
   ASSERT_TRUE(page && *page);
-  EXPECT_EQ((*page)->results.size(), JobKnobs().most_answer_bytes / 70000);
+  EXPECT_EQ((*page)->results.size(), JobKnobs().max_response_bytes / 70000);
   EXPECT_EQ((*page)->next, (*page)->results.size());
   EXPECT_EQ(cluster.shared.refused_transactions, 0U);
   expect_complete(cluster, "n1", "j1", 30, std::string(70000, 'x'));
 }
 
-// While the store is slow, each further call could cost the time within which a job is accepted.
-TEST(JobServiceTest, AJobOfUsualSizeIsAcceptedByOneCallAndReadInWholeByAnotherNode) {
+// While the store is slow, each further call could exceed the time limit for accepting a job.
+TEST(JobServiceTest, AJobOfUsualSizeIsAcceptedInOneCallAndReadCompletelyByAnotherNode) {
   ServingCluster cluster(2);
   cluster.answer_all(2, milliseconds(20));
   const std::string body(40000, 'b');
@@ -403,12 +406,12 @@
   }
 }
 
-TEST(JobServiceTest, OnlyWhoCanBeSureSaysThatThereIsNoJob) {
+TEST(JobServiceTest, AnUnknownJobIsReportedOnlyWhileTheStoreAnswers) {
   ServingCluster cluster(1);
   const auto read = [&] {
     std::optional<Expected<ResultPage>> page;
     cluster.node().jobs().read_results("none", 0, Duration(0),
-                                       [&](const Expected<ResultPage>& told) { page = told; });
+                                       [&](const Expected<ResultPage>& result) { page = result; });
     cluster.clock.run_for(seconds(3));
     return page ? page->error().kind : ErrorKind::kInternal;
   };
@@ -425,8 +428,8 @@
   cluster.clock.run_for(seconds(2));
   cluster.shared.trouble.read_as_of = old;
   std::optional<Expected<ResultPage>> page;
-  cluster.node("n1").jobs().read_results("j1", 0, Duration(0),
-                                         [&](const Expected<ResultPage>& told) { page = told; });
+  cluster.node("n1").jobs().read_results(
+      "j1", 0, Duration(0), [&](const Expected<ResultPage>& result) { page = result; });
   cluster.clock.run_for(milliseconds(100));
   ASSERT_TRUE(page);
   ASSERT_FALSE(*page);
@@ -447,7 +450,7 @@
   expect_complete(cluster, "n1", "j1", 12, "d1\nd2");
 }
 
-TEST(JobServiceTest, WaitingOnlineRequestsTakeThePlacesOfBatchAndTheItemsGoOnLater) {
+TEST(JobServiceTest, WaitingOnlineRequestsPreemptBatchItemsThatResumeLater) {
   ServingCluster cluster(1, 1);
   cluster.answer_all(6, milliseconds(300));
   cluster.clock.run_for(seconds(13));  // the node knows that there was no peak
@@ -466,8 +469,8 @@
   expect_complete(cluster, "n0", "j1", 3, "d1\nd2\nd3\nd4\nd5\nd6");
 }
 
-// The node that online requests reach need not be the one that runs the batch.
-TEST(JobServiceTest, BatchOfOneNodeGivesWayToOnlineRequestsOfAnother) {
+// The node that receives online requests need not be the one that runs the batch job.
+TEST(JobServiceTest, BatchRunsOfOneNodeArePreemptedForOnlineRequestsOfAnother) {
   ServingCluster cluster(2, 1);
   cluster.answer_all(30, milliseconds(300));
   cluster.clock.run_for(seconds(13));
@@ -482,11 +485,11 @@
     (call.request.path == "/stream/x" ? online : batch) += call.open() ? 1 : 0;
   }
   EXPECT_EQ(online, 3U);
-  EXPECT_LE(online + batch, 4U) << "more than the worker has places";
+  EXPECT_LE(online + batch, 4U) << "more runs than the worker has slots";
 }
 
-// Online requests never wait behind batch, however soon it is due.
-TEST(JobServiceTest, ItemsThatAreDueSoonGiveWayToWaitingOnlineRequestsToo) {
+// Online requests never wait behind batch items, however soon these are due.
+TEST(JobServiceTest, ItemsThatAreDueSoonArePreemptedForWaitingOnlineRequests) {
   ServingCluster cluster(1, 1);
   cluster.answer_all(300, milliseconds(300));
   cluster.clock.run_for(seconds(13));
@@ -504,21 +507,22 @@
             4);
 }
 
-// Nodes that take jobs over at the same moment would otherwise all fill the same workers.
-TEST(JobServiceTest, ItemsStartAFewAtATimeSoThatPeersHearOfThem) {
+// Peers must learn of the started items before more are started: otherwise nodes that take jobs
+// over at the same moment all fill the same workers.
+TEST(JobServiceTest, ItemsStartInBurstsOfLimitedSize) {
   ServingCluster cluster(1, 0);
   cluster.write_worker("i-many", 0, "ready", 400);
   cluster.answer_all(60, milliseconds(200));
   cluster.clock.run_for(milliseconds(100));
   ASSERT_TRUE(submit(cluster, "n0", cluster.job("j1", 40)));
-  EXPECT_EQ(cluster.workers.calls.size(), JobKnobs().most_items_at_a_time);
+  EXPECT_EQ(cluster.workers.calls.size(), JobKnobs().max_items_per_burst);
   cluster.clock.run_for(milliseconds(60));
-  EXPECT_EQ(cluster.workers.calls.size(), 2 * JobKnobs().most_items_at_a_time);
+  EXPECT_EQ(cluster.workers.calls.size(), 2 * JobKnobs().max_items_per_burst);
   cluster.clock.run_for(seconds(1));
   EXPECT_EQ(cluster.workers.calls.size(), 40U);
 }
 
-TEST(JobServiceTest, AnItemContinuesBehindItsCheckpointAfterItsOwnerIsLost) {
+TEST(JobServiceTest, AnItemResumesAfterItsCheckpointWhenItsOwnerIsLost) {
   ServingCluster cluster(2, 1);
   cluster.answer_all(20, milliseconds(200));
   ASSERT_TRUE(submit(cluster, "n0", cluster.job("j1", 2)));
@@ -540,9 +544,8 @@
   EXPECT_TRUE(cluster.shared.rows.read(job_progress_range("j1")).rows.empty());
 }
 
-// A checkpoint of them all in one transaction would be over what the store takes, and refused
-// whole.
-TEST(JobServiceTest, MoreRunningItemsThanOneTransactionHoldsContinueBehindTheirCheckpoints) {
+// A checkpoint of all items in one transaction would exceed the store's limit and be rejected.
+TEST(JobServiceTest, MoreRunningItemsThanFitOneTransactionResumeAfterTheirCheckpoints) {
   constexpr size_t kItems = kMostTransactionEntries + 50;
   ServingCluster cluster(2, 0);
   cluster.write_worker("i-many", 0, "ready", 4 * kItems);
@@ -562,7 +565,7 @@
   EXPECT_EQ(cluster.shared.refused_transactions, 0U);
 }
 
-TEST(JobServiceTest, WhatIsStoredOfAJobIsRemovedLongAfterItsEndAndNotBefore) {
+TEST(JobServiceTest, StoredDataOfAJobIsRemovedAfterItsRetentionAndNotBefore) {
   ServingCluster cluster(2);
   cluster.workers.on_call = [&](ScriptedCall& call) {
     call_after(cluster.loop, milliseconds(20), [&call] {
--- a/tests/jobs/job_tenant_test.cc
+++ b/tests/jobs/job_tenant_test.cc
@@ -1,4 +1,4 @@
-// Jobs keep their tenant wherever they go.
+// Jobs keep their tenant through takeovers, the store and forwarding.
 #include <gtest/gtest.h>
 
 #include "src/jobs/job_rows.h"
@@ -44,7 +44,7 @@
   EXPECT_EQ(older->tenant, "");
 }
 
-TEST(JobTenantTest, AJobThatIsHandedToAPeerCarriesItsIdAndTheCallersKey) {
+TEST(JobTenantTest, AForwardedJobCarriesItsIdAndTheCallersKey) {
   RequestJob job;
   job.id = *stored_job_id("ann", "j1");
   job.authorization = "Bearer k1";
--- a/tests/jobs/owned_job_test.cc
+++ b/tests/jobs/owned_job_test.cc
@@ -8,7 +8,7 @@
 namespace chalkshed {
 namespace {
 
-// One owned job over a store that the test writes to behind its back.
+// An owned job, and a store that the test also writes to directly.
 class OwnedJobTest : public testing::Test {
  protected:
   OwnedJobTest() {
@@ -62,7 +62,7 @@
   StoreClock store_clock{clock};
   ServiceDraw draw{random};
   JobEnvironment environment{serving, routes, store, store, store_clock, job_wire(), draw, {}, {}};
-  failure_recorder recorder{store, dispatcher, logger, environment.knobs.store_retry};
+  failure_recorder recorder{store, dispatcher, logger, environment.knobs.store_retry_delay};
   StoredJob record;
 };
 
@@ -81,9 +81,9 @@
   EXPECT_EQ(job.held().size(), 1U);
 }
 
-// An append of an earlier adoption of the same job, applied late, must not pass for one's own: the
-// item would be listed again at a later position.
-TEST_F(OwnedJobTest, AResultThatIsNotItsOwnEndsTheOwnership) {
+// An append by an earlier owner of the job that is applied late must not be taken for the owner's
+// own: the item would be listed again at a later position.
+TEST_F(OwnedJobTest, AResultWrittenByAnotherOwnerEndsTheOwnership) {
   const StoreVersion version = write(stored_job_key("j1"), encode_job_record(record));
   JobResult other;
   other.item = "b";
@@ -116,7 +116,7 @@
   EXPECT_TRUE(shared.rows.read(job_result_range("j1", 0, 10)).rows.empty());
 }
 
-TEST_F(OwnedJobTest, AnItemTooOldIsGivenUpAndNotBefore) {
+TEST_F(OwnedJobTest, AnItemFailsOnceItsRetentionHasPassedAndNotBefore) {
   const StoreVersion version = write(stored_job_key("j1"), encode_job_record(record));
   StoredRow configuration;
   configuration.key = {platform::kOperatorTable, "", platform::kConfigurationKey};
@@ -130,17 +130,17 @@
   OwnedJob job(environment, recorder, record, version, clock.monotonic_now(), {items(), {}, {}, {}},
                [](const std::string&) {});
   clock.run_for(seconds(59));
-  job.give_up_hopeless();
+  job.fail_unrunnable_items();
   clock.run_for(milliseconds(500));
   EXPECT_TRUE(job.held().empty());
   clock.run_for(seconds(1));
-  job.give_up_hopeless();
+  job.fail_unrunnable_items();
   clock.run_for(milliseconds(500));
   EXPECT_EQ(job.held().size(), 2U);
 }
 
-// More is queued than can be done: what still can be in time is not held up by what can't.
-TEST_F(OwnedJobTest, ItemsThatCanBeInTimeStartBeforeThoseThatCannot) {
+// Under overload, late items must not delay items that can still meet their target.
+TEST_F(OwnedJobTest, ItemsThatCanMeetTheirTargetStartBeforeThoseThatCannot) {
   store_clock.observe({1, clock.monotonic_now().time_since_epoch()});
   clock.run_for(seconds(60));
   record.accepted = store_clock.now() - seconds(18);
@@ -156,7 +156,7 @@
   EXPECT_TRUE(starts_before(*timely_job.next_slack(), *late_job.next_slack()));
 }
 
-TEST(StartsBeforeTest, TheMostUrgentOfThoseThatCanBeInTimeThenTheLeastLate) {
+TEST(StartsBeforeTest, TheMostUrgentItemOnTimeComesFirstThenTheLeastLate) {
   EXPECT_TRUE(starts_before(seconds(1), seconds(5)));
   EXPECT_TRUE(starts_before(seconds(5), seconds(-1)));
   EXPECT_TRUE(starts_before(seconds(-1), seconds(-5)));
--- a/tests/jobs/retry_budget_property_test.cc
+++ b/tests/jobs/retry_budget_property_test.cc
@@ -1,6 +1,6 @@
-// Random sequences of what can happen around an item's failed runs: losses and restarts of nodes,
-// nodes that do not hear each other (so that two believe they own the job) or that are frozen, a
-// store that is silent, refuses, loses its answers or does writes seconds later.
+// Random sequences of faults around an item's failed runs: crashes and restarts of nodes, nodes
+// that are suspended or partitioned (so that two consider themselves the owner of the job), a store
+// that does not answer, refuses calls, loses its answers or applies writes seconds later.
 #include <gtest/gtest.h>
 
 #include <rapidcheck.h>
@@ -18,12 +18,12 @@
 constexpr uint32_t kAttempts = 3;  // of the route in the cluster's configuration
 constexpr uint64_t kEvents = 3;
 constexpr Duration kStep = milliseconds(15);
-constexpr int kMostSteps = 12;  // so that no item becomes too old before it has ended
+constexpr int kMaxSteps = 12;  // so that no item becomes too old before it has ended
 constexpr Duration kSettleTime = seconds(25);
 
-class BudgetRun {
+class RetryBudgetScenario {
  public:
-  BudgetRun() {
+  RetryBudgetScenario() {
     cluster_.workers.on_call = [this](ScriptedCall& call) { receive(call); };
   }
 
@@ -43,21 +43,21 @@
   static constexpr size_t kItems = 6;
 
   // By the item's number: fails each time, can never be done, or completes.
-  static int fate_of(const std::string& item) {
-    constexpr std::array<int, 3> kFates = {kFailed, kImpossible, kOk};
-    return kFates[static_cast<size_t>(item.back() - '0') % kFates.size()];
+  static int status_of(const std::string& item) {
+    constexpr std::array<int, 3> kStatuses = {kFailed, kImpossible, kOk};
+    return kStatuses[static_cast<size_t>(item.back() - '0') % kStatuses.size()];
   }
 
   void receive(ScriptedCall& call) {
     const std::string item = call.header(platform::kRequestId);
-    const int fate = fate_of(item);
+    const int status = status_of(item);
     check_may_run(item, call.sender);
-    call_after(cluster_.loop, kStep, [this, &call, item, fate] {
+    call_after(cluster_.loop, kStep, [this, &call, item, status] {
       if (!call.open()) {
         return;
       }
-      call.begin(fate);
-      if (fate == kOk) {
+      call.begin(status);
+      if (status == kOk) {
         const std::string last = call.header(platform::kLastEventId);
         for (uint64_t event = last.empty() ? 1 : std::stoull(last) + 1; event <= kEvents; ++event) {
           call.event(event);
@@ -69,8 +69,8 @@
     });
   }
 
-  // Whoever has taken the job since the store holds that its runs are used up knows of it; an owner
-  // of before learns of it by the end of one run more.
+  // An owner that took the job over after the store recorded that an item's runs are used up knows
+  // of that; an earlier owner learns of it at the end of at most one further run.
   void check_may_run(const std::string& item, const std::string& session) {
     std::optional<StoreVersion> used_up;
     const auto failures = cluster_.shared.rows.changes(kStoredFailureTable, 0);
@@ -110,17 +110,17 @@
       recorded[item_of_key("j1", row.key)] = decode_item_failures(row.value, row.version);
     }
     for (const auto& [item, state] : listed) {
-      RC_ASSERT((state == ItemState::kCompleted) == (fate_of(item) == kOk));
+      RC_ASSERT((state == ItemState::kCompleted) == (status_of(item) == kOk));
       check_budget(item, recorded[item]);
     }
   }
 
-  // A node takes one answer of an item at a time, and runs it again only when the answer before is
-  // stored: the loss of a node loses one at most. Nodes that own the job at the same time may each
-  // begin the last run.
+  // A node receives one answer per item at a time, and runs the item again only when that answer is
+  // stored: a lost node loses one answer at most. Nodes that own the job at the same time may each
+  // start the last run.
   void check_budget(const std::string& item, const item_failures& recorded) {
     const size_t answered = answered_[item];
-    const size_t allowed = fate_of(item) == kOk ? 0 : fate_of(item) == kFailed ? kAttempts : 1;
+    const size_t allowed = status_of(item) == kOk ? 0 : status_of(item) == kFailed ? kAttempts : 1;
     RC_ASSERT(recorded.used_up(kAttempts) == (allowed > 0));
     RC_ASSERT(answered <= recorded.failed() + troubles_.losses());
     RC_ASSERT(recorded.failed() <= allowed + (kNodes - 1));
@@ -128,15 +128,15 @@
 
   ServingCluster cluster_{kNodes, 4};
   ClusterTroubles troubles_{cluster_, kStep};
-  std::map<std::string, size_t> answered_;  // failing answers that a node took, by item
-  std::set<std::string> run_too_often_;     // item and session, once the item was used up
+  std::map<std::string, size_t> answered_;  // failure answers that a node received, by item
+  std::set<std::string> run_too_often_;     // item and session of runs beyond the budget
 };
 
 RC_GTEST_PROP(RetryBudgetProperty, FailedRunsAreCountedWhateverHappensAndTheItemEnds, ()) {
-  const int count = *rc::gen::inRange(0, kMostSteps + 1);
+  const int count = *rc::gen::inRange(0, kMaxSteps + 1);
   const auto steps =
       *rc::gen::container<std::vector<Step>>(static_cast<size_t>(count), any_step(Event::kLast));
-  BudgetRun().run(steps);
+  RetryBudgetScenario().run(steps);
 }
 
 }  // namespace
--- a/tests/jobs/retry_budget_test.cc
+++ b/tests/jobs/retry_budget_test.cc
@@ -1,17 +1,11 @@
-// The story: callers submitted jobs with items that fail at each run. Items were to be given up
-// after three failed runs, or after one answer that says that they can never be done, but reached
-// workers four and five times. Order of events: every node lost power and started again; workers
-// that had been lost meanwhile failed, which all nodes told each other in short intervals; then it
-// grew quiet, and hundreds of live nodes took each other for dead. Jobs went from owner to owner
-// several times a second, and each owner began to count an item's failed runs anew.
-//
-// Evidence: four of five runs of one item came from three owners within 2.8 s while the store
-// served every call; each owner logged `failures` from 1 on; `session_regained` on nodes of all
-// zones named sessions heard 0 to 240 ms before.
-//
-// Cause: the number of failed runs, and that an item cannot be done, lay in the memory of the owner
-// alone until a checkpoint or a commit that comes later, or never for an item without events. (That
-// nodes took each other for dead has its test beside load_relay.)
+// Guards against items that run more often than their attempts allow because their job changes its
+// owner. Items must end after three failed runs, or after one answer that they are impossible, but
+// reached workers four and five times: after a restart of all nodes, live nodes took each other for
+// dead (tested beside load_relay), jobs changed their owner several times a second, and each owner
+// counted an item's failed runs from 1. Four of five runs of one item came from three owners within
+// 2.8 s while the store answered every call; `session_regained` named sessions heard 0 to 240 ms
+// before. Failed runs and impossible items were known only in the owner's memory until a later
+// checkpoint or commit, which an item without events never reaches.
 #include <gtest/gtest.h>
 
 #include "src/jobs/job_rows.h"
@@ -26,7 +20,7 @@
 
 class RetryBudgetTest : public testing::Test {
  protected:
-  // Every run of every item ends with this status.
+  // Makes every run of every item end with this status.
   void answer_all_with(int status, Duration after = milliseconds(20)) {
     cluster.workers.on_call = [this, status, after](ScriptedCall& call) {
       call_after(cluster.loop, after, [this, &call, status] {
@@ -41,11 +35,11 @@
   void submit(const std::string& node) {
     std::optional<Expected<std::monostate>> accepted;
     cluster.node(node).jobs().submit(cluster.job("j1", 1),
-                                     [&](const auto& told) { accepted = told; });
+                                     [&](const auto& result) { accepted = result; });
     cluster.clock.run_for(milliseconds(10));
     ASSERT_TRUE(accepted && *accepted);
   }
-  // Runs until the workers have given so many answers, or for that long.
+  // Runs until the workers have sent `count` answers, but no longer than `longest`.
   void run_until_answers(size_t count, Duration longest = seconds(10)) {
     const MonotonicTime end = cluster.clock.monotonic_now() + longest;
     while (answers < count && cluster.clock.monotonic_now() < end) {
@@ -74,10 +68,10 @@
   size_t answers = 0;
 };
 
-// Once the store has had the time of two calls, the loss of the owner loses no failed run.
+// After the time of two store calls, a failed run is recorded and survives the loss of the owner.
 constexpr Duration kRecorded = milliseconds(20);
 
-TEST_F(RetryBudgetTest, FailedRunsCountOverChangesOfTheOwner) {
+TEST_F(RetryBudgetTest, FailedRunsAreCountedAcrossOwnerChanges) {
   answer_all_with(kFailed);
   submit("n0");
   for (size_t run = 1; run < kAttempts; ++run) {
@@ -93,7 +87,7 @@
   expect_given_up();
 }
 
-TEST_F(RetryBudgetTest, AnItemThatCannotBeDoneRunsOnceThoughItsOwnerIsLost) {
+TEST_F(RetryBudgetTest, AnImpossibleItemRunsOnceThoughItsOwnerIsLost) {
   answer_all_with(kImpossible);
   submit("n0");
   run_until_answers(1);
--- a/tests/jobs/stale_view_test.cc
+++ b/tests/jobs/stale_view_test.cc
@@ -1,7 +1,7 @@
-// An owner that looks at the age of its view can still be wrong about it: the age counted from the
-// end of a load, peers that were heard last during an outage or not for half a minute, an end that
-// was written without a notice, a notice that was meant for another node. Each order of events
-// began items of an ended job, or stopped a job that nobody had ended.
+// An owner can misjudge the age of its view: the age counts from the end of a load, its peers were
+// last heard during an outage or half a minute ago, an end was written without a notice, or a
+// notice was meant for another node. Each case started items of an ended job, or stopped a job that
+// had not been ended.
 #include <gtest/gtest.h>
 
 #include "chalkshed/row_handover.h"
@@ -14,23 +14,25 @@
 
 class StaleViewTest : public EndedJobFixture {};
 
-// The owner is cut off from store and peers, the job is ended. After gone_after (30 s) all peers
-// count as gone, so that nobody "may reach the store", and the owner starts items again.
-TEST_F(StaleViewTest, AnOwnerThatHasHeardNobodyForLongStartsNothing) {
+// The owner is cut off from store and peers, and the job is ended. After gone_after (30 s) all
+// peers count as gone, so that no other node may reach the store, and the owner must not start
+// items because of that.
+TEST_F(StaleViewTest, AnOwnerIsolatedForLongStartsNothing) {
   ServingCluster cluster(3);
-  begin_job(cluster);
+  start_job(cluster);
   cluster.nodes.at("n0")->store.set_cut(true);
   cluster.hub.cut.insert(cluster.nodes.at("n0")->address);
   cluster.peers_answer = false;
   cluster.clock.run_for(milliseconds(100));
   const MonotonicTime acknowledged = end_job(cluster, "n1");
-  EXPECT_EQ(items_begun_beyond_bound(cluster, acknowledged, seconds(45)), 0U);
+  EXPECT_EQ(items_started_after_bound(cluster, acknowledged, seconds(45)), 0U);
 }
 
-// The same with an owner that stood still for that long: it starts items before it reads anything.
-TEST_F(StaleViewTest, AnOwnerThatStoodStillForLongStartsNothing) {
+// The same with an owner that was suspended for that long: it must not start items before it has
+// read anything.
+TEST_F(StaleViewTest, AnOwnerSuspendedForLongStartsNothing) {
   ServingCluster cluster(3);
-  begin_job(cluster);
+  start_job(cluster);
   cluster.nodes.at("n0")->dispatcher.freeze();
   const MonotonicTime acknowledged = end_job(cluster, "n1");
   cluster.clock.run_for(seconds(40));
@@ -41,12 +43,12 @@
   EXPECT_GT(cluster.clock.monotonic_now() - acknowledged, seconds(40));
 }
 
-// The store is away for all, so that batch goes on by an old view. The owner is cut off from its
-// peers too, the store comes back for the others, and one of them acknowledges an end. The owner
-// believes what the peers said of their store last for up to six seconds.
+// The store is down for all nodes, so that batch jobs continue from an old view. Then the owner is
+// also cut off from its peers, the store recovers for the others, and one of them acknowledges an
+// end. The owner relies for up to six seconds on the last store status that its peers reported.
 TEST_F(StaleViewTest, AnOwnerThatIsCutOffDuringAnOutageStartsNothingWhenItHasEnded) {
   ServingCluster cluster(3);
-  begin_job(cluster);
+  start_job(cluster);
   cluster.shared.trouble.silent = true;
   cluster.clock.run_for(seconds(5));
   cluster.nodes.at("n0")->store.set_cut(true);
@@ -55,18 +57,17 @@
   cluster.shared.trouble.silent = false;
   cluster.shared.wake_followers();
   const MonotonicTime acknowledged = end_job(cluster, "n1");
-  EXPECT_EQ(items_begun_beyond_bound(cluster, acknowledged, seconds(6)), 0U);
+  EXPECT_EQ(items_started_after_bound(cluster, acknowledged, seconds(6)), 0U);
 }
 
-// The node that takes a job over follows nothing any more (the answers to its questions are lost),
-// its other calls are answered, each read a second late: it loads the job in four reads. Another
-// node ends the job meanwhile. What the load rests on is as old as the takeover, but counts as new
-// when the load has ended.
-TEST_F(StaleViewTest, ATakeoverIsAsOldAsItsWriteNotAsItsLoad) {
+// The node that takes the job over gets no more table changes, but answers to its other calls, each
+// read a second late: it loads the job in four reads. Another node ends the job meanwhile. The view
+// that the load is based on is as old as the takeover and must not count as new when the load ends.
+TEST_F(StaleViewTest, TheAgeOfATakeoverCountsFromItsWriteNotFromItsLoad) {
   ServingCluster cluster(2);
   PartlyDeafNode taker(cluster, "n8");
   cluster.clock.run_for(seconds(1));
-  begin_job(cluster);
+  start_job(cluster);
   cluster.peers_answer = false;
   cluster.nodes.at("n1")->dispatcher.freeze();
   cluster.kill_node("n0");
@@ -84,14 +85,14 @@
   cluster.nodes.at("n1")->dispatcher.thaw();
   cluster.clock.run_for(milliseconds(100));
   const MonotonicTime acknowledged = end_job(cluster, "n1");
-  EXPECT_EQ(items_begun_beyond_bound(cluster, acknowledged, seconds(8)), 0U);
+  EXPECT_EQ(items_started_after_bound(cluster, acknowledged, seconds(8)), 0U);
 }
 
-// The first end is written, its answer is lost; the caller ends the job again at the same node,
-// which acknowledges what it knows and tells the owner nothing.
-TEST_F(StaleViewTest, TheOwnerIsToldAlsoWhenTheEndIsWrittenAlready) {
+// The first end is written but its answer is lost. The caller ends the job again at the same node,
+// which must notify the owner although the end is already in the record.
+TEST_F(StaleViewTest, TheOwnerIsNotifiedAlsoWhenTheEndWasAlreadyWritten) {
   ServingCluster cluster(3);
-  begin_job(cluster);
+  start_job(cluster);
   cluster.nodes.at("n0")->store.set_cut(true);
   cluster.shared.trouble.lose_commits = true;
   cluster.node("n1").jobs().end("j1", [](const Expected<std::monostate>&) {});
@@ -103,11 +104,11 @@
   EXPECT_EQ(cluster.workers.calls.size() - before, 0U);
 }
 
-// A node has died, then the store falls silent for all: nobody can acknowledge an end, but the dead
-// node counts as one that may reach the store.
+// A node has crashed, then the store stops answering all nodes: no node can acknowledge an end, and
+// the crashed node must not count as one that may reach the store.
 TEST_F(StaleViewTest, ItemsStartWhileTheStoreIsDownForAllThoughANodeHasDied) {
   ServingCluster cluster(3);
-  begin_job(cluster);
+  start_job(cluster);
   cluster.kill_node("n2");
   cluster.clock.run_for(seconds(4));
   cluster.shared.trouble.silent = true;
@@ -117,12 +118,12 @@
   EXPECT_GT(cluster.workers.calls.size(), before);
 }
 
-// A row that was meant for another node comes to the owner's address (an address or port that was
-// another node's, or another deployment's with the same ids, a moment ago). It is no end of this
-// owner's job, and what the store says later must count.
+// A row that was meant for another node arrives at the owner's address, which a moment ago belonged
+// to another node, or to another deployment with the same ids. It must not end this owner's job,
+// and later changes from the store must still apply.
 TEST_F(StaleViewTest, ARowForAnotherOwnerDoesNotEndAJob) {
   ServingCluster cluster(3);
-  begin_job(cluster, 100);
+  start_job(cluster, 100);
   const RangePage page = cluster.shared.rows.read(
       {stored_job_key("j1").table, stored_job_key("j1").partition, "", "", 500});
   StoredJob other = *decode_job_record("j1", page.rows.front().value);
@@ -136,11 +137,11 @@
   cluster.node("n0").peer_handler().handle(
       brought, std::make_unique<FakeWriter>(std::make_shared<SeenAnswer>()));
   cluster.clock.run_for(seconds(30));
-  EXPECT_EQ(cluster.workers.calls.size(), 100U) << "the job was given up, and nobody took it";
+  EXPECT_EQ(cluster.workers.calls.size(), 100U) << "the job was dropped and not taken over";
 }
 
-// The platform leaves less time for an end: the view must be newer, but is asked for as seldom.
-TEST_F(StaleViewTest, AnItemThatWaitedStartsSoonAlsoWhereEndsAreToActSooner) {
+// The platform allows less time for an end: the view must be newer, but is refreshed as rarely.
+TEST_F(StaleViewTest, AWaitingItemStartsSoonAlsoWithAShorterViewAgeLimit) {
   ServingCluster cluster(0, 1);
   ServingNodeKnobs knobs;
   knobs.jobs.longest_view_age = milliseconds(500);  // bounds.cancel_ms=1500 or less
@@ -168,9 +169,8 @@
   EXPECT_LE(blocked, milliseconds(200));
 }
 
-// The store's feed is down for a node, its transactions are answered. A job of which nothing runs
-// at the moment writes nothing, so that nothing confirms it: it waits for as long as the feed is
-// down.
+// The store delivers no changes to a node but answers its transactions. A job without running items
+// writes nothing that would confirm the ownership, and must not wait until changes arrive again.
 TEST_F(StaleViewTest, AJobStartsWhileTheStoreAnswersItsOwnersTransactions) {
   ServingCluster cluster(2, 1);
   PartlyDeafNode owner(cluster, "n8");
@@ -178,8 +178,8 @@
   for (int number = 0; number < 4; ++number) {
     cluster.request("/fixed/x", "r" + std::to_string(number));
   }
-  owner.node.jobs().submit(cluster.job("j1", 1), [&](const Expected<std::monostate>& told) {
-    accepted_ = told.has_value();
+  owner.node.jobs().submit(cluster.job("j1", 1), [&](const Expected<std::monostate>& result) {
+    accepted_ = result.has_value();
   });
   cluster.clock.run_for(milliseconds(300));
   ASSERT_TRUE(accepted_);
