--- a/include/chalkshed/queued_tokens.h
+++ b/include/chalkshed/queued_tokens.h
@@ -2,12 +2,12 @@
 #define CHALKSHED_QUEUED_TOKENS_H
 
 /** \file
- * How many tokens of a job are still to be generated, as its owner reports it to the other nodes.
+ * Tracks how many tokens of each job are still to be generated, as reported by the jobs' owners.
  *
- * A job's record names the tokens of all its items. It is not rewritten with every item that ends,
- * so that by the records alone a queue looks fuller than it is. Owners therefore report what is
- * left beside their heartbeats. What is left of a job only ever shrinks, whoever owns it: reports
- * may be lost, repeated or overtake each other, and those of a lost owner stay true.
+ * A job's record contains the tokens of all its items and is not rewritten when an item ends, so
+ * that a queue counted from the records alone appears too full. Owners therefore report the
+ * remaining tokens along with their heartbeats. The remainder of a job never grows, even if its
+ * owner changes: reports may be lost, repeated or reordered, and those of a lost owner stay valid.
  */
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 namespace chalkshed {
 
-/** What an owner reports of one of its jobs. */
+/** An owner's report on one of its jobs. */
 struct job_remainder {
     /** Hash of the job's id. */
     uint64_t job = 0;
@@ -29,11 +29,10 @@
 };
 
 struct queued_tokens_knobs {
-    /** A job whose record has not arrived is counted by its report for this long. The record of an
+    /** How long a job whose record has not arrived is counted from its report. The record of an
      * accepted job arrives within a second or two while the store answers. */
     Duration unlisted_lifetime = std::chrono::seconds(10);
-    /** The rate at which the queue drains is a mean over about this long: several items of a few
-     * seconds each. */
+    /** The drain rate is averaged over about this long: several items of a few seconds each. */
     Duration drain_window = std::chrono::seconds(5);
 };
 
@@ -42,34 +41,34 @@
     explicit queued_tokens(const queued_tokens_knobs &knobs = {});
 
     void note(const job_remainder &reported, MonotonicTime now);
-    /** The job has ended, with or without its remaining items. */
+    /** Records that the job has ended, whether or not all its items have run. */
     void close(uint64_t job, MonotonicTime now);
 
-    /** \param tokens Those of all items, by the job's record.
-     * \return What is left of it, as far as reported. */
-    uint64_t left_of(uint64_t job, uint64_t tokens) const;
+    /** \param tokens The tokens of all items, from the job's record.
+     * \return The tokens still to be generated according to the reports. */
+    uint64_t remaining_tokens(uint64_t job, uint64_t tokens) const;
 
-    /** Whether the job is known by a report that still counts. */
+    /** Whether there is an unexpired report on the job. */
     bool reported(uint64_t job, MonotonicTime now) const;
 
-    /** Tokens of the queue's jobs that are known by reports alone.
+    /** Tokens of the queue's jobs that are known from reports only.
      * \param listed Whether the job's record is known, open or not. */
     uint64_t unlisted(uint64_t queue, const std::function<bool(uint64_t job)> &listed,
                       MonotonicTime now) const;
 
-    /** Tokens that all queues together have lost to ended items, a second, of late. */
+    /** Recent rate, in tokens per second, at which ended items have drained all queues together. */
     double drain_rate(MonotonicTime now) const;
 
-    /** Forgets reports that count no more. */
+    /** Removes expired reports of jobs without a record. */
     void prune(MonotonicTime now, const std::function<bool(uint64_t job)> &listed);
 
 private:
     struct report {
         uint64_t queue = 0;
         uint64_t tokens = 0;
-        MonotonicTime heard{};
+        MonotonicTime received{};
     };
-    void drained(uint64_t tokens, MonotonicTime now);
+    void record_drained(uint64_t tokens, MonotonicTime now);
 
     queued_tokens_knobs knobs_;
     std::unordered_map<uint64_t, report> reports_;
--- a/src/job_queue/queue_admission.cc
+++ b/src/job_queue/queue_admission.cc
@@ -11,7 +11,7 @@
 
 constexpr const char *kReservationTable = "job_queue";
 
-// Each queue has a partition of its own: a partition takes a limited number of writes.
+// Each queue has its own partition, because the write rate of a partition is limited.
 StoredRowKey reservation_key(uint64_t queue) {
     const std::string name = std::to_string(queue);
     return {kReservationTable, "queue-" + name, name};
@@ -44,8 +44,8 @@
     return table ? table->find(wanted.host, wanted.path) : nullptr;
 }
 
-admission_verdict queue_admission::judge(const Route &route, const candidate &wanted,
-                                         uint64_t reserved) const {
+admission_verdict queue_admission::evaluate(const Route &route, const candidate &wanted,
+                                            uint64_t reserved) const {
     admission_verdict verdict;
     verdict.limit = route.max_queued_tokens;
     verdict.queued = saturating_sum(view_.queued(route, wanted.tenant), reserved);
@@ -54,8 +54,8 @@
     if (!verdict.admitted) {
         const double excess = static_cast<double>(filled - verdict.limit);
         const double seconds = excess / std::max(view_.drain_rate(), 1.0);
-        const double most = std::chrono::duration<double>(knobs_.most_retry_after).count();
-        verdict.retry_after = std::max(knobs_.least_retry_after,
+        const double most = std::chrono::duration<double>(knobs_.max_retry_after).count();
+        verdict.retry_after = std::max(knobs_.min_retry_after,
                                        std::chrono::duration_cast<Duration>(
                                            std::chrono::duration<double>(std::min(seconds, most))));
     }
@@ -69,7 +69,7 @@
     const bool limited = route != nullptr && route->max_queued_tokens > 0;
     if (!table || (limited && !view_.complete())) {
         callback(tl::unexpected(not_run(ErrorKind::kStoreUnavailable,
-                                        "this node does not know the queued jobs yet",
+                                        "this node has not read the queued jobs yet",
                                         "send the job again, or to another node")));
         return;
     }
@@ -77,11 +77,11 @@
         callback(admission_verdict{true, 0, 0, {}});
         return;
     }
-    const admission_verdict verdict = judge(*route, wanted, 0);
+    const admission_verdict verdict = evaluate(*route, wanted, 0);
     const auto limit = static_cast<double>(verdict.limit);
     const double if_others_accept =
         static_cast<double>(verdict.queued) +
-        static_cast<double>(wanted.tokens) * static_cast<double>(knobs_.unseen_jobs);
+        static_cast<double>(wanted.tokens) * static_cast<double>(knobs_.concurrent_jobs_margin);
     if (!verdict.admitted || if_others_accept <= knobs_.unreserved_share * limit) {
         callback(verdict);
         return;
@@ -91,38 +91,38 @@
 }
 
 void queue_admission::reserve(uint64_t queue, candidate wanted) {
-    lane &own = lanes_[queue];
-    own.waiting.push_back(std::move(wanted));
-    if (!std::exchange(own.busy, true)) {
+    queue_state &state = queue_states_[queue];
+    state.waiting.push_back(std::move(wanted));
+    if (!std::exchange(state.busy, true)) {
         write_reservations(queue);
     }
 }
 
-queue_admission::ledger queue_admission::add_reservations(lane &own,
-                                                          std::vector<candidate> waiting) {
-    ledger entries = own.newest;
+queue_admission::reservation_row queue_admission::add_reservations(queue_state &state,
+                                                                   std::vector<candidate> waiting) {
+    reservation_row entries = state.latest;
     const Duration now = environment_.clock.now();
     std::erase_if(entries.reservations, [&](const reservation &made) {
-        return now - made.made > knobs_.reservation_lifetime;
+        return now - made.created > knobs_.reservation_lifetime;
     });
     const RouteTablePtr table = environment_.routes.current();
     for (candidate &wanted : waiting) {
         const Route *route = route_of(table, wanted);
         if (route == nullptr) {
             wanted.callback(
-                tl::unexpected(not_run(ErrorKind::kNotFound, "the route of the job is gone",
+                tl::unexpected(not_run(ErrorKind::kNotFound, "the route of the job was removed",
                                        "check the host and the path")));
             continue;
         }
         uint64_t reserved = 0;
         for (const reservation &made : entries.reservations) {
-            if (made.job != wanted.job && !view_.counts(made.job)) {
+            if (made.job != wanted.job && !view_.is_counted(made.job)) {
                 reserved = saturating_sum(reserved, made.tokens);
             }
         }
-        // The row may be older than the newest, which holds more: a refusal may rest on it, an
-        // admission has to be written on top of the newest.
-        const admission_verdict verdict = judge(*route, wanted, reserved);
+        // The cached row may be out of date and lack reservations. A refusal may be based on it; an
+        // admission is confirmed by the conditional write of the row.
+        const admission_verdict verdict = evaluate(*route, wanted, reserved);
         if (!verdict.admitted) {
             wanted.callback(verdict);
             continue;
@@ -130,20 +130,20 @@
         std::erase_if(entries.reservations,
                       [&](const reservation &made) { return made.job == wanted.job; });
         entries.reservations.push_back({wanted.job, wanted.tokens, now});
-        own.reserving.push_back(std::move(wanted));
+        state.reserving.push_back(std::move(wanted));
     }
     return entries;
 }
 
 void queue_admission::write_reservations(uint64_t queue) {
-    lane &own = lanes_[queue];
-    const size_t count = std::min(own.waiting.size(), knobs_.most_jobs_a_write);
-    const auto end = own.waiting.begin() + static_cast<ptrdiff_t>(count);
-    std::vector<candidate> waiting(std::make_move_iterator(own.waiting.begin()),
+    queue_state &state = queue_states_[queue];
+    const size_t count = std::min(state.waiting.size(), knobs_.max_jobs_per_write);
+    const auto end = state.waiting.begin() + static_cast<ptrdiff_t>(count);
+    std::vector<candidate> waiting(std::make_move_iterator(state.waiting.begin()),
                                    std::make_move_iterator(end));
-    own.waiting.erase(own.waiting.begin(), end);
-    ledger entries = add_reservations(own, std::move(waiting));
-    if (own.reserving.empty()) {
+    state.waiting.erase(state.waiting.begin(), end);
+    reservation_row entries = add_reservations(state, std::move(waiting));
+    if (state.reserving.empty()) {
         finish_write(queue, admission_verdict{true, 0, 0, {}});
         return;
     }
@@ -157,14 +157,14 @@
         }));
 }
 
-void queue_admission::handle_written(uint64_t queue, ledger sent,
+void queue_admission::handle_written(uint64_t queue, reservation_row sent,
                                      const Expected<StoreCommit> &commit) {
     if (!commit) {
-        // Whether or not the reservations were written, the jobs were not: they only lapse.
-        finish_write(queue,
-                     tl::unexpected(not_run(ErrorKind::kStoreUnavailable,
-                                            "no room could be reserved: " + commit.error().message,
-                                            "send the job again, or to another node")));
+        // Even if the reservations were written, the jobs were not stored: the reservations expire.
+        finish_write(
+            queue, tl::unexpected(not_run(ErrorKind::kStoreUnavailable,
+                                          "no tokens could be reserved: " + commit.error().message,
+                                          "send the job again, or to another node")));
         return;
     }
     if (!commit->committed) {
@@ -172,36 +172,37 @@
         return;
     }
     sent.version = commit->stamp.version;
-    lanes_[queue].newest = std::move(sent);
+    queue_states_[queue].latest = std::move(sent);
     finish_write(queue, admission_verdict{true, 0, 0, {}});
 }
 
 void queue_admission::handle_conflict(uint64_t queue, const StoreCommit &commit) {
-    lane &own = lanes_[queue];
-    own.newest = commit.current.empty() ? ledger{} : decode(commit.current.front());
-    if (own.conflicts >= knobs_.most_conflicts) {
+    queue_state &state = queue_states_[queue];
+    state.latest = commit.current.empty() ? reservation_row{} : decode(commit.current.front());
+    if (state.conflicts >= knobs_.max_conflicts) {
         finish_write(queue, tl::unexpected(not_run(ErrorKind::kStoreUnavailable,
-                                                   "other nodes reserve room at the same moment",
+                                                   "other nodes reserve tokens at the same time",
                                                    "send the job again")));
         return;
     }
-    own.waiting.insert(own.waiting.begin(), std::make_move_iterator(own.reserving.begin()),
-                       std::make_move_iterator(own.reserving.end()));
-    own.reserving.clear();
-    const auto most = static_cast<double>(knobs_.conflict_pause.count() << own.conflicts++);
-    if (!own.pause) {
-        own.pause = environment_.serving.dispatcher.create_timer(
+    state.waiting.insert(state.waiting.begin(), std::make_move_iterator(state.reserving.begin()),
+                         std::make_move_iterator(state.reserving.end()));
+    state.reserving.clear();
+    const auto most = static_cast<double>(knobs_.conflict_backoff.count() << state.conflicts++);
+    if (!state.backoff) {
+        state.backoff = environment_.serving.dispatcher.create_timer(
             [this, queue] { write_reservations(queue); });
     }
-    own.pause->enable(Duration(static_cast<int64_t>(environment_.serving.random.unit() * most)));
+    state.backoff->enable(
+        Duration(static_cast<int64_t>(environment_.serving.random.unit() * most)));
 }
 
 void queue_admission::finish_write(uint64_t queue, const Expected<admission_verdict> &verdict) {
-    lane &own = lanes_[queue];
-    const std::vector<candidate> answered = std::exchange(own.reserving, {});
-    own.conflicts = 0;
-    own.busy = !own.waiting.empty();
-    if (own.busy) {
+    queue_state &state = queue_states_[queue];
+    const std::vector<candidate> answered = std::exchange(state.reserving, {});
+    state.conflicts = 0;
+    state.busy = !state.waiting.empty();
+    if (state.busy) {
         environment_.serving.dispatcher.post(
             lifetime_.guard([this, queue] { write_reservations(queue); }));
     }
@@ -210,17 +211,17 @@
     }
 }
 
-std::string queue_admission::encode(const ledger &entries) {
+std::string queue_admission::encode(const reservation_row &entries) {
     nlohmann::json rows = nlohmann::json::array();
     for (const reservation &made : entries.reservations) {
         rows.push_back(
-            {{"job", made.job}, {"tokens", made.tokens}, {"made_us", made.made.count()}});
+            {{"job", made.job}, {"tokens", made.tokens}, {"made_us", made.created.count()}});
     }
     return rows.dump();
 }
 
-queue_admission::ledger queue_admission::decode(const StoredRow &row) const {
-    ledger entries;
+queue_admission::reservation_row queue_admission::decode(const StoredRow &row) const {
+    reservation_row entries;
     entries.version = row.version;
     const nlohmann::json rows = nlohmann::json::parse(row.value, nullptr, false);
     if (!rows.is_array()) {
--- a/src/job_queue/queued_tokens.cc
+++ b/src/job_queue/queued_tokens.cc
@@ -11,9 +11,9 @@
     const auto [entry, is_new] =
         reports_.try_emplace(reported.job, report{reported.queue, reported.tokens, now});
     report &known = entry->second;
-    known.heard = now;
+    known.received = now;
     if (!is_new && reported.tokens < known.tokens) {
-        drained(known.tokens - reported.tokens, now);
+        record_drained(known.tokens - reported.tokens, now);
         known.tokens = reported.tokens;
     }
 }
@@ -23,18 +23,18 @@
     if (found == reports_.end()) {
         return;
     }
-    drained(found->second.tokens, now);
+    record_drained(found->second.tokens, now);
     found->second.tokens = 0;
 }
 
-uint64_t queued_tokens::left_of(uint64_t job, uint64_t tokens) const {
+uint64_t queued_tokens::remaining_tokens(uint64_t job, uint64_t tokens) const {
     const auto found = reports_.find(job);
     return found == reports_.end() ? tokens : std::min(tokens, found->second.tokens);
 }
 
 bool queued_tokens::reported(uint64_t job, MonotonicTime now) const {
     const auto found = reports_.find(job);
-    return found != reports_.end() && now - found->second.heard <= knobs_.unlisted_lifetime;
+    return found != reports_.end() && now - found->second.received <= knobs_.unlisted_lifetime;
 }
 
 uint64_t queued_tokens::unlisted(uint64_t queue, const std::function<bool(uint64_t)> &listed,
@@ -48,7 +48,7 @@
     return sum;
 }
 
-void queued_tokens::drained(uint64_t tokens, MonotonicTime now) {
+void queued_tokens::record_drained(uint64_t tokens, MonotonicTime now) {
     const double window = std::chrono::duration<double>(knobs_.drain_window).count();
     drained_ = drain_rate(now) * window + static_cast<double>(tokens);
     drained_at_ = now;
@@ -62,7 +62,7 @@
 
 void queued_tokens::prune(MonotonicTime now, const std::function<bool(uint64_t)> &listed) {
     std::erase_if(reports_, [&](const auto &entry) {
-        return now - entry.second.heard > knobs_.unlisted_lifetime && !listed(entry.first);
+        return now - entry.second.received > knobs_.unlisted_lifetime && !listed(entry.first);
     });
 }
 
--- a/src/jobs/job_queues.cc
+++ b/src/jobs/job_queues.cc
@@ -20,7 +20,7 @@
     const Route* route = limited_route_of(owned.job->record());
     if (route != nullptr && !owned.job->finished()) {
       own.push_back({content_hash(id), route_queue_id(*route, owned.job->record().tenant),
-                     owned.job->tokens_left()});
+                     owned.job->remaining_tokens()});
       queued_.note(own.back(), now());
     }
   }
@@ -31,7 +31,7 @@
 
 void job_queues::close(const std::string& job) { queued_.close(content_hash(job), now()); }
 
-bool job_queues::counts(const std::string& job) const {
+bool job_queues::is_counted(const std::string& job) const {
   return index_.contains(job) || queued_.reported(content_hash(job), now());
 }
 
@@ -50,8 +50,8 @@
       continue;
     }
     const auto owned = owned_.find(id);
-    sum += owned == owned_.end() ? queued_.left_of(hash, record.tokens)
-                                 : owned->second.job->tokens_left();
+    sum += owned == owned_.end() ? queued_.remaining_tokens(hash, record.tokens)
+                                 : owned->second.job->remaining_tokens();
   }
   return sum + queued_.unlisted(
                    queue, [&](uint64_t job) { return listed.contains(job); }, now());
--- a/src/jobs/job_queues.h
+++ b/src/jobs/job_queues.h
@@ -33,7 +33,7 @@
 
   bool complete() const override { return listed_; }
   uint64_t queued(const Route& route, const std::string& tenant) const override;
-  bool counts(const std::string& job) const override;
+  bool is_counted(const std::string& job) const override;
   double drain_rate() const override;
 
  private:
--- a/src/jobs/owned_job.cc
+++ b/src/jobs/owned_job.cc
@@ -587,7 +587,7 @@
   on_commit_.push_back(std::move(callback));
 }
 
-uint64_t OwnedJob::tokens_left() const {
+uint64_t OwnedJob::remaining_tokens() const {
   uint64_t sum = 0;
   for (const Item& item : items_) {
     sum += item.phase == Phase::kEnded ? 0 : item.request.queue_tokens;
--- a/src/jobs/owned_job.h
+++ b/src/jobs/owned_job.h
@@ -77,7 +77,7 @@
   // Calls `callback` once, after the next commit.
   void on_next_commit(std::function<void()> callback);
   // Tokens of the items that have not ended.
-  uint64_t tokens_left() const;
+  uint64_t remaining_tokens() const;
   // @return the item while it has no listed result, or null.
   const ServingRequest* unlisted_item(const std::string& id) const;
 
--- a/tests/job_queue/queue_admission_test.cc
+++ b/tests/job_queue/queue_admission_test.cc
@@ -1,4 +1,4 @@
-// The queue limit of a batch route over all nodes, as callers and the store see it.
+// The queue limit of a batch route over all nodes, observed through callers and the store.
 #include "chalkshed/queue_admission.h"
 
 #include <gtest/gtest.h>
@@ -9,16 +9,16 @@
 namespace chalkshed {
 namespace {
 
-// Items of ServingCluster::job() count ten tokens each.
+// Each item of ServingCluster::job() counts as ten tokens.
 constexpr uint64_t kLimit = 1000;
 constexpr uint64_t kTokensOfAnItem = 10;
 
 struct Answer {
-  std::optional<Expected<std::monostate>> told;
-  bool accepted() const { return told && told->has_value(); }
+  std::optional<Expected<std::monostate>> result;
+  bool accepted() const { return result && result->has_value(); }
   bool over_limit() const {
-    return told && !*told && told->error().kind == ErrorKind::kLimitExceeded &&
-           told->error().ran == Ran::kNo && told->error().retry_after;
+    return result && !*result && result->error().kind == ErrorKind::kLimitExceeded &&
+           result->error().ran == Ran::kNo && result->error().retry_after;
   }
 };
 using AnswerPtr = std::shared_ptr<Answer>;
@@ -41,7 +41,7 @@
     auto answer = std::make_shared<Answer>();
     cluster.node(node).jobs().submit(
         cluster.job(id, items),
-        [answer](const Expected<std::monostate>& told) { answer->told = told; });
+        [answer](const Expected<std::monostate>& result) { answer->result = result; });
     return answer;
   }
   bool accepts(const std::string& node, const std::string& id, size_t items) {
@@ -66,11 +66,11 @@
     return cluster.node(node).jobs().queues().queued(*table->find("a.example", "/batch/j"), "");
   }
 
-  // Workers answer nothing: what is accepted stays queued.
+  // The workers do not answer, so that accepted jobs stay queued.
   ServingCluster cluster{3, 2};
 };
 
-TEST_F(QueueAdmissionTest, AJobThatDoesNotFitIsRefusedWithATimeToComeBackAndNeverRuns) {
+TEST_F(QueueAdmissionTest, AJobThatDoesNotFitIsRefusedWithARetryDelayAndNeverRuns) {
   ASSERT_TRUE(accepts("n0", "j1", 95));
   const size_t calls = cluster.workers.calls.size();
   const AnswerPtr refused = send("n1", "j2", 6);
@@ -80,15 +80,13 @@
   for (const ScriptedCall& call : cluster.workers.calls) {
     EXPECT_FALSE(call.header(platform::kRequestId).starts_with("j2")) << calls;
   }
-  EXPECT_TRUE(accepts("n1", "j3", 5)) << "one that fits is taken";
+  EXPECT_TRUE(accepts("n1", "j3", 5)) << "a job that fits is accepted";
 }
 
-// A caller that was refused sends its job again elsewhere or later, as a new one: if the first were
-// run after all, its work would be done twice.
-//
-// The store had not answered the write of the node that took the job first, and does it seconds
-// after another node has refused the same job.
-TEST_F(QueueAdmissionTest, AJobThatWasRefusedIsNotStoredByAnEarlierWriteThatIsDoneLate) {
+// A refused caller resubmits its job elsewhere or later as a new one: if the first submission ran
+// after all, its work would be done twice. Here the store does not answer the write of the first
+// node, and applies it seconds after another node has refused the same job.
+TEST_F(QueueAdmissionTest, ARefusedJobIsNotStoredByAnEarlierWriteThatIsAppliedLate) {
   ASSERT_TRUE(accepts("n0", "j1", 10));
   cluster.shared.trouble.lose_commits = true;
   cluster.shared.trouble.late_commits = seconds(4);
@@ -106,20 +104,19 @@
   }
 }
 
-TEST_F(QueueAdmissionTest, AJobThatWasRefusedIsTakenWhenItComesAgainAndFits) {
+TEST_F(QueueAdmissionTest, ARefusedJobIsAcceptedWhenItIsResubmittedAndFits) {
   ASSERT_TRUE(accepts("n0", "j1", 95));
   const AnswerPtr refused = send("n1", "j2", 10);
   cluster.clock.run_for(milliseconds(400));
   ASSERT_TRUE(refused->over_limit());
   set_limit(3, 2 * kLimit);
   EXPECT_TRUE(accepts("n2", "j2", 10));
-  EXPECT_TRUE(accepts("n1", "j2", 10)) << "sent once more";
+  EXPECT_TRUE(accepts("n1", "j2", 10)) << "resubmitted";
 }
 
-// A caller had sent its job to a second node, which refused it, while the first one still tried to
-// store it and then handed it to a peer. The peer took it for a new send, accepted it past the
-// refusal, and it ran.
-TEST_F(QueueAdmissionTest, AHandedJobIsBoundByARefusalWrittenSinceItsCallerSentIt) {
+// Guards against accepting a job that a second node has refused: the first node was still trying to
+// store the job and then forwarded it to a peer, which treated it as a new submission and ran it.
+TEST_F(QueueAdmissionTest, AForwardedJobIsBoundByARefusalWrittenAfterItsSubmission) {
   ASSERT_TRUE(accepts("n0", "j1", 95));
   RequestJob handed = cluster.job("j2", 10);
   handed.forwarded = true;
@@ -130,13 +127,13 @@
   set_limit(3, 2 * kLimit);
   Answer answer;
   cluster.node("n2").jobs().submit(
-      handed, [&](const Expected<std::monostate>& told) { answer.told = told; });
+      handed, [&](const Expected<std::monostate>& result) { answer.result = result; });
   cluster.clock.run_for(milliseconds(400));
   EXPECT_TRUE(answer.over_limit());
-  EXPECT_TRUE(accepts("n2", "j2", 10)) << "sent once more";
+  EXPECT_TRUE(accepts("n2", "j2", 10)) << "resubmitted";
 }
 
-TEST_F(QueueAdmissionTest, RowsOfRefusalsAreRemovedAfterAWhile) {
+TEST_F(QueueAdmissionTest, RefusalRowsAreRemovedAfterTheirRetention) {
   ASSERT_TRUE(accepts("n0", "j1", 95));
   send("n1", "j2", 10);
   cluster.clock.run_for(seconds(1));
@@ -153,10 +150,10 @@
   EXPECT_EQ(rows(), 0U);
 }
 
-// While the store leaves a node without an answer, a peer may take the job.
-class HandedJobTest : public QueueAdmissionTest {
+// While the store does not answer a node, a peer may accept the job.
+class ForwardedJobTest : public QueueAdmissionTest {
  protected:
-  // A job that n0 hands to a peer, and for which there is no room any more when n0 can decide.
+  // Sends a job that n0 forwards to a peer and that no longer fits when n0 can decide.
   AnswerPtr send_while_store_is_silent() {
     cluster.workers.on_fetch = [this](const Address&, const HttpRequest&,
                                       Callback<HttpResponse> callback) {
@@ -175,27 +172,27 @@
   std::vector<Callback<HttpResponse>> handed;
 };
 
-TEST_F(HandedJobTest, IsNotRefusedWhileThePeerMayTakeIt) {
+TEST_F(ForwardedJobTest, IsNotRefusedWhileThePeerMayAcceptIt) {
   const AnswerPtr answer = send_while_store_is_silent();
-  EXPECT_FALSE(answer->told) << "the peer has not said anything yet";
+  EXPECT_FALSE(answer->result) << "the peer has not answered yet";
   handed.front()(HttpResponse{202, {}, ""});
   cluster.clock.run_for(milliseconds(100));
   EXPECT_TRUE(answer->accepted());
 }
 
-TEST_F(HandedJobTest, IsNotRefusedWhenItIsNotKnownWhetherThePeerTookIt) {
+TEST_F(ForwardedJobTest, IsNotRefusedWhenItIsUnknownWhetherThePeerAcceptedIt) {
   const AnswerPtr answer = send_while_store_is_silent();
   for (const Callback<HttpResponse>& callback : handed) {
     callback(tl::unexpected(maybe_run(ErrorKind::kUpstreamFailed, "no answer", "none")));
     cluster.clock.run_for(milliseconds(100));
   }
   cluster.clock.run_for(seconds(4));
-  ASSERT_TRUE(answer->told);
+  ASSERT_TRUE(answer->result);
   ASSERT_FALSE(answer->accepted());
-  EXPECT_EQ(answer->told->error().ran, Ran::kUnknown);
+  EXPECT_EQ(answer->result->error().ran, Ran::kUnknown);
 }
 
-TEST_F(HandedJobTest, IsRefusedOnceThePeerHasRefusedItToo) {
+TEST_F(ForwardedJobTest, IsRefusedOnceThePeerHasRefusedItToo) {
   const AnswerPtr answer = send_while_store_is_silent();
   for (size_t hop = 0; hop < handed.size(); ++hop) {
     handed[hop](HttpResponse{503, {}, ""});
@@ -204,7 +201,7 @@
   EXPECT_TRUE(answer->over_limit());
 }
 
-TEST_F(QueueAdmissionTest, NodesThatDecideAtTheSameMomentDoNotShareTheLastRoom) {
+TEST_F(QueueAdmissionTest, ConcurrentAdmissionsDoNotExceedTheLimit) {
   ASSERT_TRUE(accepts("n0", "j0", 80));
   std::vector<AnswerPtr> answers;
   for (const char* node : {"n0", "n1", "n2"}) {
@@ -219,9 +216,9 @@
   EXPECT_EQ(refused, 2);
 }
 
-// Near the limit every job is reserved in one row; nodes must not drive each other, or the store,
-// into refusals of jobs that fit.
-TEST_F(QueueAdmissionTest, ManyJobsThatFitAreAcceptedThoughAllNodesReserveAtOnce) {
+// Near the limit all reservations share one row: write conflicts and store throttling must not lead
+// to the refusal of jobs that fit.
+TEST_F(QueueAdmissionTest, ManyJobsThatFitAreAcceptedWhileAllNodesReserveConcurrently) {
   ASSERT_TRUE(accepts("n0", "j0", 70));
   cluster.clock.run_for(seconds(1));
   const uint64_t before = cluster.shared.calls;
@@ -234,7 +231,8 @@
   const auto accepted = std::count_if(answers.begin(), answers.end(),
                                       [](const AnswerPtr& answer) { return answer->accepted(); });
   EXPECT_EQ(accepted, 30);
-  EXPECT_LE(cluster.shared.calls - before, 30U + 40U) << "one call a job, and few to reserve";
+  EXPECT_LE(cluster.shared.calls - before, 30U + 40U)
+      << "one call per job, and few for reservations";
 }
 
 TEST_F(QueueAdmissionTest, FarBelowTheLimitAnAcceptanceCostsOneCall) {
@@ -244,19 +242,19 @@
   EXPECT_EQ(cluster.shared.rows.version(), before + 1);
 }
 
-TEST_F(QueueAdmissionTest, AJobSentAgainIsAcceptedThoughTheQueueIsFull) {
+TEST_F(QueueAdmissionTest, AResubmittedJobIsAcceptedThoughTheQueueIsFull) {
   ASSERT_TRUE(accepts("n0", "j1", 98));
   EXPECT_TRUE(accepts("n1", "j1", 98));
-  // Its record has not arrived at the node that is asked.
+  // The record has not arrived at the node that gets the second submission.
   cluster.shared.trouble.hold_changes = true;
   ASSERT_TRUE(accepts("n0", "j2", 2));
   EXPECT_TRUE(accepts("n2", "j2", 2));
   EXPECT_EQ(queued("n0"), kLimit);
 }
 
-TEST_F(QueueAdmissionTest, ANodeLostAfterItsReservationLeavesTheRoomAfterAFewSeconds) {
+TEST_F(QueueAdmissionTest, TheReservationOfALostNodeExpiresAfterAFewSeconds) {
   ASSERT_TRUE(accepts("n0", "j0", 70));
-  // The reservation is written; the node dies before it stores the job.
+  // The reservation is written, and the node is killed before it stores the job.
   send("n1", "j1", 25);
   for (int step = 0; step < 200 && !reserved("j1"); ++step) {
     cluster.clock.run_for(milliseconds(1));
@@ -271,7 +269,7 @@
 
 TEST_F(QueueAdmissionTest, TheCountIsRightAfterTheOwnerIsLost) {
   ASSERT_TRUE(accepts("n0", "j1", 90));
-  // Three items end at the workers, and are reported before the owner is lost.
+  // Three items end at the workers and are reported before the owner is lost.
   size_t ended = 0;
   for (ScriptedCall& call : cluster.workers.calls) {
     if (call.open() && ended < 3) {
@@ -294,7 +292,7 @@
   EXPECT_EQ(queued("n2"), left);
 }
 
-TEST_F(QueueAdmissionTest, AfterTheLossOfAllNodesNothingFitsThatDidNotBefore) {
+TEST_F(QueueAdmissionTest, AfterTheLossOfAllNodesTheLimitStillHolds) {
   ASSERT_TRUE(accepts("n0", "j1", 95));
   for (const char* node : {"n0", "n1", "n2"}) {
     cluster.kill_node(node);
@@ -308,7 +306,7 @@
   EXPECT_FALSE(accepts("n2", "j3", 10));
 }
 
-TEST_F(QueueAdmissionTest, AnEndedJobLeavesItsRoomAtOnce) {
+TEST_F(QueueAdmissionTest, AnEndedJobFreesItsTokensAtOnce) {
   ASSERT_TRUE(accepts("n0", "j1", 95));
   cluster.node("n1").jobs().end("j1", [](const Expected<std::monostate>&) {});
   cluster.clock.run_for(milliseconds(400));
@@ -316,7 +314,7 @@
   EXPECT_TRUE(accepts("n2", "j2", 95));
 }
 
-TEST_F(QueueAdmissionTest, ALowerLimitTakesBackNothingThatWasAccepted) {
+TEST_F(QueueAdmissionTest, ALowerLimitDoesNotAffectAcceptedJobs) {
   cluster.answer_all(1, milliseconds(20));
   ASSERT_TRUE(accepts("n0", "j1", 60));
   set_limit(3, 100);
--- a/tests/job_queue/queued_tokens_test.cc
+++ b/tests/job_queue/queued_tokens_test.cc
@@ -23,16 +23,16 @@
   MonotonicTime now{seconds(100)};
 };
 
-TEST_F(QueuedTokensTest, AJobCountsInWholeUntilItsOwnerReportsWhatIsLeft) {
-  EXPECT_EQ(tokens.left_of(kJob, 100), 100U);
+TEST_F(QueuedTokensTest, AJobCountsWithAllTokensUntilItsOwnerReportsTheRemainder) {
+  EXPECT_EQ(tokens.remaining_tokens(kJob, 100), 100U);
   tokens.note({kJob, kQueue, 60}, now);
-  EXPECT_EQ(tokens.left_of(kJob, 100), 60U);
+  EXPECT_EQ(tokens.remaining_tokens(kJob, 100), 60U);
 }
 
-TEST_F(QueuedTokensTest, ReportsThatOvertakeEachOtherNeverRaiseWhatIsLeft) {
+TEST_F(QueuedTokensTest, ReorderedReportsNeverRaiseTheRemainder) {
   tokens.note({kJob, kQueue, 60}, now);
   tokens.note({kJob, kQueue, 90}, now);
-  EXPECT_EQ(tokens.left_of(kJob, 100), 60U);
+  EXPECT_EQ(tokens.remaining_tokens(kJob, 100), 60U);
 }
 
 TEST_F(QueuedTokensTest, AJobKnownByReportsAloneCountsUntilItsRecordArrives) {
@@ -47,10 +47,10 @@
   now += seconds(11);
   EXPECT_EQ(unlisted(), 0U);
   tokens.prune(now, [](uint64_t) { return false; });
-  EXPECT_EQ(tokens.left_of(kJob, 100), 100U);
+  EXPECT_EQ(tokens.remaining_tokens(kJob, 100), 100U);
 }
 
-TEST_F(QueuedTokensTest, TheDrainRateFollowsWhatEndsAndFadesWithoutIt) {
+TEST_F(QueuedTokensTest, TheDrainRateFollowsCompletionsAndDecaysWithoutThem) {
   tokens.note({kJob, kQueue, 1000}, now);
   for (uint64_t step = 1; step <= 40; ++step) {
     now += seconds(1);
--- a/tests/job_queue/refusal_property_test.cc
+++ b/tests/job_queue/refusal_property_test.cc
@@ -1,5 +1,5 @@
-// What a refused job does, whatever its caller, the nodes and the store go through: it is sent to
-// several nodes at once, and again while an earlier send is open, and answers are lost.
+// Refused jobs under random faults: a job is submitted to several nodes at once, and again while an
+// earlier submission is open, while nodes and the store fail and answers are lost.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -11,8 +11,8 @@
 constexpr size_t kNodes = 3;
 constexpr size_t kJobs = 6;
 constexpr size_t kItems = 4;
-constexpr uint64_t kLimit = 100;  // ten items' tokens: two jobs and a half
-constexpr int kMostSteps = 30;
+constexpr uint64_t kLimit = 100;  // the tokens of ten items: two and a half jobs
+constexpr int kMaxSteps = 30;
 
 enum class Event {
   kSend,
@@ -21,8 +21,8 @@
   kStoreCommitsLate,
   kStoreDown,
   kStoreSilent,
-  kFollowersHearNothing,
-  kCalm,
+  kStoreHoldsChanges,
+  kStoreHealthy,
   kCutNode,
   kJoinNode,
   kKillNode,
@@ -30,7 +30,7 @@
 };
 
 struct Step {
-  Event event = Event::kCalm;
+  Event event = Event::kStoreHealthy;
   uint32_t job = 0;
   uint32_t node = 0;
   uint32_t pause_ms = 0;
@@ -42,7 +42,7 @@
 }
 
 rc::Gen<Step> any_step() {
-  // Half of all steps send.
+  // At least half of all steps are submissions.
   const auto event =
       rc::gen::map(rc::gen::inRange(0, 2 * static_cast<int>(Event::kCount)), [](int drawn) {
         return drawn < static_cast<int>(Event::kCount) ? static_cast<Event>(drawn)
@@ -58,15 +58,15 @@
 }
 
 struct Attempt {
-  std::optional<Expected<std::monostate>> told;
-  bool refused() const { return told && !*told && told->error().ran == Ran::kNo; }
-  bool over_limit() const { return refused() && told->error().kind == ErrorKind::kLimitExceeded; }
-  bool accepted() const { return told && told->has_value(); }
+  std::optional<Expected<std::monostate>> result;
+  bool refused() const { return result && !*result && result->error().ran == Ran::kNo; }
+  bool over_limit() const { return refused() && result->error().kind == ErrorKind::kLimitExceeded; }
+  bool accepted() const { return result && result->has_value(); }
 };
 
-class RefusalRun {
+class RefusalScenario {
  public:
-  RefusalRun() {
+  RefusalScenario() {
     cluster_.write_configuration(2, [](nlohmann::json& configuration) {
       for (nlohmann::json& route : configuration["routes"]) {
         if (route["kind"] == "batch") {
@@ -80,7 +80,7 @@
 
   void run(const std::vector<Step>& steps) {
     for (const Step& step : steps) {
-      take(step);
+      apply(step);
       cluster_.clock.run_for(milliseconds(step.pause_ms));
     }
     cluster_.shared.trouble = StoreTrouble();
@@ -106,7 +106,7 @@
     attempts_[job].push_back(attempt);
     cluster_.node(node).jobs().submit(
         cluster_.job(job, kItems),
-        [attempt](const Expected<std::monostate>& told) { attempt->told = told; });
+        [attempt](const Expected<std::monostate>& result) { attempt->result = result; });
   }
 
   void join(const std::string& node) {
@@ -116,7 +116,7 @@
     cluster_.nodes[node]->store.set_cut(false);
   }
 
-  void take(const Step& step) {
+  void apply(const Step& step) {
     const std::string node = name_of(step.node);
     const std::string job = "j" + std::to_string(step.job) + "x";
     StoreTrouble& trouble = cluster_.shared.trouble;
@@ -142,7 +142,7 @@
       case Event::kStoreSilent:
         trouble.silent = true;
         break;
-      case Event::kFollowersHearNothing:
+      case Event::kStoreHoldsChanges:
         trouble.hold_changes = true;
         break;
       case Event::kCutNode:
@@ -176,7 +176,7 @@
     const bool accepted = std::any_of(attempts.begin(), attempts.end(),
                                       [](const AttemptPtr& one) { return one->accepted(); });
     RC_ASSERT(!refused || runs_of(job) == 0U);
-    // A refusal for the queue's limit binds the sends of before, too, also those that are open.
+    // A refusal because of the queue limit also applies to earlier submissions, even open ones.
     RC_ASSERT(!attempts.back()->over_limit() || runs_of(job) == 0U);
     RC_ASSERT(!accepted || runs_of(job) >= kItems);
   }
@@ -185,12 +185,12 @@
   std::map<std::string, std::vector<AttemptPtr>> attempts_;
 };
 
-// Users saw items of jobs run although each send of the job had been refused: a refusal promises
-// that nothing of the job runs.
-RC_GTEST_PROP(JobRefusalProperty, AJobThatWasRefusedEachTimeNeverRunsAndAnAcceptedOneDoes, ()) {
-  const int count = *rc::gen::inRange(0, kMostSteps + 1);
+// A refusal guarantees that nothing of the job runs; items had run although each submission of
+// their job was refused.
+RC_GTEST_PROP(JobRefusalProperty, AJobRefusedEachTimeNeverRunsAndAnAcceptedOneDoes, ()) {
+  const int count = *rc::gen::inRange(0, kMaxSteps + 1);
   const auto steps = *rc::gen::container<std::vector<Step>>(static_cast<size_t>(count), any_step());
-  RefusalRun().run(steps);
+  RefusalScenario().run(steps);
 }
 
 }  // namespace
