--- a/include/chalkshed/first_copy.h
+++ b/include/chalkshed/first_copy.h
@@ -2,14 +2,14 @@
 #define CHALKSHED_FIRST_COPY_H
 
 /** \file
- * Where a node that starts gets its first copy of a large table from.
+ * Determines where a starting node gets its first copy of a large table from.
  *
- * Read from the store by every node, a table of 10,000 rows is 2.3 GB and 20,000 calls for a
- * thousand nodes that start together. A table that one call lists is read there by all. Of a larger
- * one, in a large fleet, only the relays of each zone do; the others ask nodes of their own zone,
- * which have it or say so at once. A copy names the version up to
- * which it is whole, and the node follows the store's changes from there: nothing rests on the peer
- * being current. A node that gets no copy reads the store itself. */
+ * If every node read a table of 10,000 rows from the store, a thousand nodes that start together
+ * would transfer 2.3 GB in 20,000 calls. A table that one call lists is read from the store by all
+ * nodes. In a large fleet, a larger table is read from the store only by the relays of each zone;
+ * the other nodes ask nodes of their own zone, which send a copy or refuse at once. A copy names
+ * the version up to which it is complete, and the node follows the store's changes from there, so
+ * the peer need not be up to date. A node that gets no copy reads the store itself. */
 
 #include <functional>
 #include <optional>
@@ -27,19 +27,19 @@
 namespace chalkshed {
 
 struct first_copy_knobs {
-    /** A node that can't list the others for so long reads the store itself. */
-    Duration nodes_patience = std::chrono::milliseconds(1500);
-    /** Without a copy for so long, spread over twice that, it reads the store itself. With 200
-     * nodes in a zone all have a copy some 4 s after the relays have theirs. */
-    Duration patience = std::chrono::seconds(4);
-    /** Between two questions. A peer that has no copy refuses within milliseconds. */
-    Duration pause = std::chrono::milliseconds(150);
+    /** A node that cannot list the other nodes for this long reads the store itself. */
+    Duration node_list_timeout = std::chrono::milliseconds(1500);
+    /** A node without a copy after this long, plus a random delay of up to the same length, reads
+     * the store itself. With 200 nodes in a zone all have a copy about 4 s after the relays. */
+    Duration peer_copy_timeout = std::chrono::seconds(4);
+    /** Delay between two requests. A peer that has no copy refuses within milliseconds. */
+    Duration retry_delay = std::chrono::milliseconds(150);
     Duration connect_timeout = std::chrono::milliseconds(150);
-    /** A peer that stops in the midst of its answer. */
+    /** Idle timeout for a peer that stops sending in the middle of its answer. */
     Duration answer_timeout = std::chrono::milliseconds(700);
 };
 
-/** Who reads the store. */
+/** Where this node reads the table from. */
 enum class copy_source {
     kUnknown, // the other nodes have not been listed
     kStore,   // there are few nodes, or this one is a relay of its zone
@@ -48,7 +48,7 @@
 
 class first_copy {
 public:
-    /** All references outlive this. */
+    /** All references must outlive this. */
     struct environment {
         TimeSource &time_source;
         Dispatcher &dispatcher;
@@ -57,10 +57,10 @@
         Logger &logger;
     };
 
-    /** \param table The name by which peers give the table.
-     * \param watcher Is started by this, and outlives it.
-     * \param source Asked again until the table is there.
-     * \param peers Of whom one is asked. */
+    /** \param table The name by which peers serve the table.
+     * \param watcher Started by this; must outlive it.
+     * \param source Called repeatedly until the table has been read.
+     * \param peers Returns the peers, of which a random one is asked. */
     first_copy(const environment &around, std::string table, TableWatcher &watcher,
                std::function<copy_source()> source, std::function<std::vector<Address>()> peers,
                const first_copy_knobs &knobs = {});
@@ -68,7 +68,7 @@
     void start();
 
 private:
-    void look();
+    void choose_source();
     void ask_peer();
     void handle_answer(const Address &peer, const Expected<HttpResponse> &answer);
     void read_store(const char *reason);
@@ -80,9 +80,9 @@
     const std::function<std::vector<Address>()> peers_;
     const first_copy_knobs knobs_;
     MonotonicTime started_{};
-    /** From the start until this node reads the store itself. */
-    Duration patience_{0};
-    uint64_t asked_ = 0;
+    /** Time from the start until this node reads the store itself. */
+    Duration peer_copy_timeout_{0};
+    uint64_t peers_asked_ = 0;
     TimerPtr timer_;
     Lifetime lifetime_;
 };
--- a/src/peers/peer_exchange.cc
+++ b/src/peers/peer_exchange.cc
@@ -267,7 +267,7 @@
   }
   logger_.write(LogLevel::kWarning, "process_stood_still",
                 {{"milliseconds", milliseconds_text(pause)}});
-  clock_.excuse(pause);
+  clock_.exclude_pause(pause);
   heard_anyone_ += pause;
   for (auto& [node, peer] : peers_) {
     peer.heard += pause;
--- a/src/watch/first_copy.cc
+++ b/src/watch/first_copy.cc
@@ -19,35 +19,36 @@
       source_(std::move(source)),
       peers_(std::move(peers)),
       knobs_(knobs),
-      timer_(around.dispatcher.create_timer([this] { look(); })) {}
+      timer_(around.dispatcher.create_timer([this] { choose_source(); })) {}
 
 void first_copy::start() {
   started_ = environment_.time_source.monotonic_now();
-  patience_ = knobs_.patience +
-              std::chrono::duration_cast<Duration>(knobs_.patience * environment_.random.unit());
-  watcher_.start_unless_large(lifetime_.guard([this] { look(); }));
+  peer_copy_timeout_ =
+      knobs_.peer_copy_timeout +
+      std::chrono::duration_cast<Duration>(knobs_.peer_copy_timeout * environment_.random.unit());
+  watcher_.start_unless_large(lifetime_.guard([this] { choose_source(); }));
 }
 
-void first_copy::look() {
+void first_copy::choose_source() {
   const Duration elapsed = environment_.time_source.monotonic_now() - started_;
   const copy_source source = source_();
-  if (source == copy_source::kUnknown && elapsed >= knobs_.nodes_patience) {
-    read_store("the nodes are not known");
+  if (source == copy_source::kUnknown && elapsed >= knobs_.node_list_timeout) {
+    read_store("the other nodes could not be listed");
     return;
   }
   if (source == copy_source::kStore) {
     read_store("it is this node's part");
     return;
   }
-  if (source == copy_source::kPeers && elapsed >= patience_) {
-    read_store("no peer has given a copy");
+  if (source == copy_source::kPeers && elapsed >= peer_copy_timeout_) {
+    read_store("no peer has sent a copy");
     return;
   }
   if (source == copy_source::kPeers) {
     ask_peer();
     return;
   }
-  timer_->enable(knobs_.pause);
+  timer_->enable(knobs_.retry_delay);
 }
 
 void first_copy::read_store(const char* reason) {
@@ -55,7 +56,7 @@
       LogLevel::kInfo, "table_read_from_store",
       {{"table", table_},
        {"reason", reason},
-       {"peers_asked", std::to_string(asked_)},
+       {"peers_asked", std::to_string(peers_asked_)},
        {"elapsed_ms", milliseconds_text(environment_.time_source.monotonic_now() - started_)}});
   watcher_.start();
 }
@@ -63,19 +64,19 @@
 void first_copy::ask_peer() {
   const std::vector<Address> peers = peers_();
   if (peers.empty()) {
-    timer_->enable(knobs_.pause);
+    timer_->enable(knobs_.retry_delay);
     return;
   }
-  ++asked_;
+  ++peers_asked_;
   const Address& peer = peers[environment_.random.next() % peers.size()];
-  HttpRequest question;
-  question.method = "GET";
-  question.path = rows_path(table_, 0);
+  HttpRequest query;
+  query.method = "GET";
+  query.path = rows_path(table_, 0);
   HttpCallOptions options;
   options.pool = "peers";
   options.connect_timeout = knobs_.connect_timeout;
   options.idle_timeout = knobs_.answer_timeout;
-  environment_.client.fetch(peer, question, options,
+  environment_.client.fetch(peer, query, options,
                             lifetime_.guard([this, peer](const Expected<HttpResponse>& answer) {
                               handle_answer(peer, answer);
                             }));
@@ -89,9 +90,9 @@
       environment_.logger.write(LogLevel::kWarning, "copy_rejected",
                                 {{"table", table_},
                                  {"peer", to_string(peer)},
-                                 {"reason", "its bytes form no copy of the table"}});
+                                 {"reason", "malformed copy of the table"}});
     }
-    timer_->enable(knobs_.pause);
+    timer_->enable(knobs_.retry_delay);
     return;
   }
   watcher_.learn(*copy);
--- a/src/watch/observed_store.cc
+++ b/src/watch/observed_store.cc
@@ -17,8 +17,8 @@
         count("read_range", page.has_value());
         if (page && page->stamp.version < known && stale_reads_ == StaleReads::kRefuse) {
           callback(tl::unexpected(not_run(ErrorKind::kStoreUnavailable,
-                                          "the store's answer is older than what is known",
-                                          "ask again after a moment")));
+                                          "the store's answer is older than data read before",
+                                          "retry after a moment")));
           return;
         }
         if (page) {
--- a/src/watch/observed_store.h
+++ b/src/watch/observed_store.h
@@ -1,5 +1,5 @@
-// A store whose answers are watched: keeps the store clock, counts the calls, and refuses range
-// reads that are older than what this node knew when it asked.
+// A decorator of the store: updates the store clock from its answers, counts the calls, and rejects
+// range reads that are older than the newest version known when they were requested.
 #pragma once
 
 #include "src/core/lifetime.h"
@@ -13,12 +13,12 @@
 
 class ObservedStore : public WatchedStore {
  public:
-  // All references outlive the store.
+  // All references must outlive the store.
   ObservedStore(WatchedStore& inner, StoreClock& clock, MetricsRegistry& metrics,
                 StaleReads stale_reads)
       : inner_(inner), clock_(clock), metrics_(metrics), stale_reads_(stale_reads) {}
 
-  // Errors beside the store's own: kStoreUnavailable for an old answer.
+  // Errors in addition to the store's own: kStoreUnavailable for a stale answer.
   void read_range(RangeRead range, Callback<RangePage> callback) override;
   void read_changes(std::string table, StoreVersion since, Duration wait,
                     Callback<TableChanges> callback) override;
--- a/src/watch/recent_longest.h
+++ b/src/watch/recent_longest.h
@@ -1,4 +1,4 @@
-// The longest of the times that were measured of late.
+// The longest of the recently measured durations.
 #pragma once
 
 #include <algorithm>
@@ -7,10 +7,10 @@
 
 namespace chalkshed {
 
-// Looks back over the window under way and the one before, so that it forgets nothing at once.
+// Covers the current window and the previous one, so that no measurement expires immediately.
 class RecentLongest {
  public:
-  // How far it looks back at least: over some four questions that fail after 2.5 s each.
+  // Minimum time that a measurement is kept: about four calls that fail after 2.5 s each.
   static constexpr Duration kWindow = std::chrono::seconds(10);
 
   void note(MonotonicTime now, Duration measured) {
--- a/src/watch/row_delivery.cc
+++ b/src/watch/row_delivery.cc
@@ -16,42 +16,43 @@
 
 void row_delivery::deliver(const Address& peer, const StoredRow& row,
                            std::function<void(bool)> done) {
-  send(std::make_shared<parcel>(parcel{peer, row, 0, std::move(done)}));
+  send(std::make_shared<pending_delivery>(pending_delivery{peer, row, 0, std::move(done)}));
 }
 
-void row_delivery::send(const std::shared_ptr<parcel>& sent) {
-  ++sent->tries;
+void row_delivery::send(const std::shared_ptr<pending_delivery>& delivery) {
+  ++delivery->attempts;
   HttpRequest request;
   request.method = "POST";
-  request.path = rows_path(sent->row.key.table);
-  request.body = encode_rows(sent->row.key.table, {sent->row});
+  request.path = rows_path(delivery->row.key.table);
+  request.body = encode_rows(delivery->row.key.table, {delivery->row});
   HttpCallOptions options;
   options.pool = "peers";
   options.connect_timeout = knobs_.connect_timeout;
   options.idle_timeout = knobs_.answer_timeout;
-  client_.fetch(sent->peer, request, options,
-                lifetime_.guard([this, sent](const Expected<HttpResponse>& answer) {
-                  handle_answer(sent, answer);
+  client_.fetch(delivery->peer, request, options,
+                lifetime_.guard([this, delivery](const Expected<HttpResponse>& answer) {
+                  handle_answer(delivery, answer);
                 }));
 }
 
-void row_delivery::handle_answer(const std::shared_ptr<parcel>& sent,
+void row_delivery::handle_answer(const std::shared_ptr<pending_delivery>& delivery,
                                  const Expected<HttpResponse>& answer) {
   if (answer && answer->status == kOk) {
-    sent->done(true);
+    delivery->done(true);
     return;
   }
-  if (sent->tries < knobs_.most_tries) {
-    call_after(dispatcher_, knobs_.pause, lifetime_.guard([this, sent] { send(sent); }));
+  if (delivery->attempts < knobs_.max_attempts) {
+    call_after(dispatcher_, knobs_.retry_delay,
+               lifetime_.guard([this, delivery] { send(delivery); }));
     return;
   }
   logger_.write(
       LogLevel::kInfo, "row_not_delivered",
-      {{"table", sent->row.key.table},
-       {"row", sent->row.key.key},
-       {"peer", to_string(sent->peer)},
+      {{"table", delivery->row.key.table},
+       {"row", delivery->row.key.key},
+       {"peer", to_string(delivery->peer)},
        {"reason", answer ? "status " + std::to_string(answer->status) : answer.error().message}});
-  sent->done(false);
+  delivery->done(false);
 }
 
 }  // namespace chalkshed
--- a/src/watch/row_handover.cc
+++ b/src/watch/row_handover.cc
@@ -8,8 +8,8 @@
 namespace chalkshed {
 namespace {
 
-/** GET /rows/TABLE/VERSION: what has changed in the table behind the version, or the whole of it;
- * POST /rows/TABLE: rows that the peer should know. */
+/** GET /rows/TABLE/VERSION: the changes of the table after the version, or the whole table.
+ * POST /rows/TABLE: sends rows to the peer. */
 constexpr std::string_view kPath = "/rows/";
 constexpr int kOk = 200;
 constexpr int kBadRequest = 400;
@@ -55,7 +55,7 @@
   page.since = packed->since();
   page.through = packed->through();
   page.whole = packed->whole() && page.through > 0;
-  // An age beyond any use is cut, so that it can be taken from any time.
+  // The age is capped, so that it can be subtracted from any time without overflow.
   constexpr uint64_t kOldest = std::chrono::microseconds(std::chrono::hours(1)).count();
   page.age = std::chrono::microseconds(std::min(packed->age_us(), kOldest));
   if (packed->rows() != nullptr) {
@@ -90,48 +90,51 @@
 
 void row_handover_server::handle(HttpRequest request, ResponseWriterPtr writer) {
   if (request.method == "POST") {
-    take(request, *writer);
+    accept_rows(request, *writer);
   } else {
-    give(request, *writer);
+    send_page(request, *writer);
   }
 }
 
-// Refused at once where this node has no list of the table yet, or has just given a large one.
-void row_handover_server::give(const HttpRequest& request, ResponseWriter& writer) {
+// Refuses at once if this node has not listed the table yet or has just sent a large page.
+void row_handover_server::send_page(const HttpRequest& request, ResponseWriter& writer) {
   std::string_view path = request.path;
   const size_t slash = path.rfind('/');
   StoreVersion version = 0;
   const auto parsed = std::from_chars(path.data() + slash + 1, path.data() + path.size(), version);
   const bool well_formed = path.starts_with(kPath) && slash > kPath.size() &&
                            parsed.ec == std::errc() && parsed.ptr == path.data() + path.size();
-  const auto table = well_formed
-                         ? given_.find(std::string(path.substr(kPath.size(), slash - kPath.size())))
-                         : given_.end();
-  if (table == given_.end()) {
+  const auto table =
+      well_formed
+          ? served_tables_.find(std::string(path.substr(kPath.size(), slash - kPath.size())))
+          : served_tables_.end();
+  if (table == served_tables_.end()) {
     writer.respond({kNotFound, {}, ""});
     return;
   }
-  // A page that is refused is not made: while 1,000 nodes start, each is asked for one some ten
-  // times a second, and those of 10,000 rows were most of what a node did.
-  const bool large = table->second->page_rows(version) > knobs_.rows_of_large_page;
+  // A page that will be refused is not built: while 1,000 nodes start, each gets about ten requests
+  // a second, and building pages of 10,000 rows took most of a node's time.
+  const bool large = table->second->page_rows(version) > knobs_.large_page_rows;
   const MonotonicTime now = time_source_.monotonic_now();
-  const bool too_soon = copied_ != MonotonicTime{} && now - copied_ < knobs_.between_large_pages;
+  const bool too_soon =
+      last_large_page_ != MonotonicTime{} && now - last_large_page_ < knobs_.large_page_interval;
   const std::optional<table_page> page =
       large && too_soon ? std::nullopt : table->second->page_after(version);
   if (!page) {
     writer.respond({kUnavailable, {}, ""});
     return;
   }
-  copied_ = large ? now : copied_;
+  last_large_page_ = large ? now : last_large_page_;
   writer.respond(
       {kOk, {{"Content-Type", "application/octet-stream"}}, encode_page(table->first, *page)});
 }
 
-void row_handover_server::take(const HttpRequest& request, ResponseWriter& writer) const {
+void row_handover_server::accept_rows(const HttpRequest& request, ResponseWriter& writer) const {
   const std::string_view path = request.path;
-  const auto table =
-      path.starts_with(kPath) ? taken_.find(std::string(path.substr(kPath.size()))) : taken_.end();
-  if (table == taken_.end()) {
+  const auto table = path.starts_with(kPath)
+                         ? accepted_tables_.find(std::string(path.substr(kPath.size())))
+                         : accepted_tables_.end();
+  if (table == accepted_tables_.end()) {
     writer.respond({kNotFound, {}, ""});
     return;
   }
@@ -147,37 +150,37 @@
 }
 
 row_handover::row_handover(TimeSource& time_source, HttpClient& client, Logger& logger,
-                           std::string name, TableWatcher& table, choose_peer choose,
+                           std::string name, TableWatcher& table, peer_selector select_peer,
                            const row_handover_knobs& knobs)
     : time_source_(time_source),
       client_(client),
       logger_(logger),
       name_(std::move(name)),
       table_(table),
-      choose_(std::move(choose)),
+      select_peer_(std::move(select_peer)),
       knobs_(knobs) {}
 
 void row_handover::request(StoreVersion version) {
   const MonotonicTime now = time_source_.monotonic_now();
-  if (asking_ || now - asked_ < knobs_.pause) {
+  if (request_pending_ || now - last_request_ < knobs_.min_request_interval) {
     return;
   }
-  const std::optional<Address> peer = choose_(version);
+  const std::optional<Address> peer = select_peer_(version);
   if (!peer) {
     return;
   }
-  asking_ = true;
-  asked_ = now;
-  HttpRequest question;
-  question.method = "GET";
-  question.path = rows_path(name_, table_.known_through());
+  request_pending_ = true;
+  last_request_ = now;
+  HttpRequest query;
+  query.method = "GET";
+  query.path = rows_path(name_, table_.known_through());
   HttpCallOptions options;
   options.pool = "peers";
   options.connect_timeout = knobs_.connect_timeout;
   options.idle_timeout = knobs_.answer_timeout;
-  client_.fetch(*peer, question, options,
+  client_.fetch(*peer, query, options,
                 lifetime_.guard([this, from = *peer](const Expected<HttpResponse>& answer) {
-                  asking_ = false;
+                  request_pending_ = false;
                   handle_answer(from, answer);
                 }));
 }
--- a/src/watch/store_clock.h
+++ b/src/watch/store_clock.h
@@ -1,4 +1,4 @@
-// What this node has learned of the store from its answers: its newest version and its clock.
+// The store's newest version and clock, as learned from its answers.
 #pragma once
 
 #include <algorithm>
@@ -17,26 +17,26 @@
   void observe(const StoreStamp& stamp) {
     observe_version(stamp.version);
     last_heard_ = time_source_.monotonic_now();
-    // The answer that took least time to arrive is closest to the truth.
+    // The answer with the shortest delay gives the most accurate offset.
     const Duration offset = stamp.steady_clock - time_source_.monotonic_now().time_since_epoch();
     offset_ = known_ ? std::max(offset_, offset) : offset;
     known_ = true;
   }
-  // This process stood still for so long: that the store was not heard meanwhile says nothing of
-  // the store.
-  void excuse(Duration pause) { last_heard_ += pause; }
-  // From another node that has seen it.
+  // Excludes a suspension of this process from the time since the last answer: it does not indicate
+  // a failure of the store.
+  void exclude_pause(Duration pause) { last_heard_ += pause; }
+  // Records a version that the store or another node has reported.
   void observe_version(StoreVersion version) { newest_ = std::max(newest_, version); }
   MonotonicTime local_now() const { return time_source_.monotonic_now(); }
-  // A call that the store doesn't hold was answered, or failed.
+  // Records the duration of a call that the store answers without waiting, or that failed.
   void note_call_since(MonotonicTime asked) { calls_.note(local_now(), local_now() - asked); }
-  // The longest that such a call took of late.
+  // The longest recent duration of such a call.
   Duration longest_call() const { return calls_.longest(local_now()); }
   // When the store last answered this node.
   MonotonicTime last_heard() const { return last_heard_; }
   // Newest version of the store that this node knows of.
   StoreVersion newest() const { return newest_; }
-  // The store's clock now, as far as known.
+  // Estimate of the current time of the store's clock.
   Duration now() const { return time_source_.monotonic_now().time_since_epoch() + offset_; }
 
  private:
--- a/src/watch/table_watcher.cc
+++ b/src/watch/table_watcher.cc
@@ -50,15 +50,15 @@
   range.table = table_;
   range.partition = partitions_[index];
   range.first_key = from;
-  // With the workers of some hundred nodes a table is still listed with one call; of a larger one
-  // this part costs a thousand nodes 60 MB.
+  // One call still lists a table with the workers of about a hundred nodes. For a larger table this
+  // first page costs a thousand nodes 60 MB.
   constexpr uint32_t kRowsOfSmallTable = 250;
   range.limit = on_large_ ? kRowsOfSmallTable : range.limit;
   store_.read_range(std::move(range),
                     lifetime_.guard([this, index, from](const Expected<RangePage>& page) {
                       if (!page) {
-                        // The pages before are kept: begun anew each time, a list of 50 pages need
-                        // never end at a store that turns away one call in ten.
+                        // Resumes at this page: if it restarted each time, a list of 50 pages might
+                        // never end at a store that refuses one call in ten.
                         retry(page.error(), [this, index, from] { list_partition(index, from); });
                         return;
                       }
@@ -67,10 +67,10 @@
 }
 
 void TableWatcher::handle_page(size_t index, const RangePage& page) {
-  heard();
+  note_answer();
   for (const StoredRow& row : page.rows) {
     listing_[row.key] = row.version;
-    tell(row);
+    notify(row);
   }
   if (page.more && on_large_) {
     std::exchange(on_large_, nullptr)();
@@ -80,7 +80,7 @@
   const auto [entry, is_new] = partition_versions_.try_emplace(partition, page.stamp.version);
   entry->second = std::min(entry->second, page.stamp.version);
   if (page.more && page.rows.size() > 1) {
-    // The last row comes again, as the first of the next page.
+    // The last row is returned again as the first of the next page.
     list_partition(index, page.rows.back().key.key);
     return;
   }
@@ -92,17 +92,17 @@
   for (const auto& [partition, partition_version] : partition_versions_) {
     version = version == 0 ? partition_version : std::min(version, partition_version);
   }
-  // What was known and is not in the list is gone, unless it is newer than the list.
-  std::vector<StoredRow> gone;
+  // Known rows that are not in the list were removed, unless they are newer than the list.
+  std::vector<StoredRow> absent;
   for (const auto& [key, known] : known_) {
     const auto listed_at = partition_versions_.find(key.partition);
     if (!known.removed && !listing_.contains(key) && listed_at != partition_versions_.end() &&
         known.version <= listed_at->second) {
-      gone.push_back({key, "", listed_at->second, true});
+      absent.push_back({key, "", listed_at->second, true});
     }
   }
-  for (const StoredRow& row : gone) {
-    tell(row);
+  for (const StoredRow& row : absent) {
+    notify(row);
   }
   on_large_ = nullptr;
   const bool stale = version < followed_;
@@ -110,12 +110,12 @@
   followed_ = version;
   complete_since_ = version;
   listing_.clear();
-  if (!std::exchange(listed_, true) || stale || !gone.empty()) {
+  if (!std::exchange(listed_, true) || stale || !absent.empty()) {
     logger_.write(LogLevel::kInfo, "table_listed",
                   {{"table", table_},
                    {"version", std::to_string(version)},
                    {"rows", std::to_string(known_.size())},
-                   {"gone", std::to_string(gone.size())},
+                   {"gone", std::to_string(absent.size())},
                    {"older_than_known", stale ? "yes" : "no"}});
   }
   observer_.on_listed();
@@ -123,14 +123,14 @@
 }
 
 void TableWatcher::follow() {
-  const uint64_t asked = ++asked_;
+  const uint64_t call = ++follow_calls_;
   following_ = true;
-  gathering_ = false;
+  batching_ = false;
   follow_asked_ = time_source_.monotonic_now();
   const Duration wait = pace_.from_peers ? Duration(0) : pace_.longest_wait;
   store_.read_changes(table_, followed_, wait,
-                      lifetime_.guard([this, asked](const Expected<TableChanges>& changes) {
-                        if (asked == asked_) {
+                      lifetime_.guard([this, call](const Expected<TableChanges>& changes) {
+                        if (call == follow_calls_) {
                           handle_changes(changes);
                         }
                       }));
@@ -141,15 +141,15 @@
     follow();
     return;
   }
-  gathering_ = true;
+  batching_ = true;
   retry_action_ = [this] { follow(); };
   retry_timer_->enable(pace_.gather);
 }
 
 void TableWatcher::hurry() {
-  // Between two questions of a node; the store answers within some 10 ms.
-  constexpr Duration kLeastGather = std::chrono::milliseconds(100);
-  if (gathering_ && time_source_.monotonic_now() - last_heard_ >= kLeastGather) {
+  // Minimum interval between two requests; the store answers within about 10 ms.
+  constexpr Duration kMinBatchDelay = std::chrono::milliseconds(100);
+  if (batching_ && time_source_.monotonic_now() - last_heard_ >= kMinBatchDelay) {
     retry_timer_->disable();
     follow();
   }
@@ -157,7 +157,7 @@
 
 void TableWatcher::set_pace(const WatchPace& pace) {
   const bool was_from_peers = std::exchange(pace_, pace).from_peers;
-  if (gathering_ && was_from_peers && !pace.from_peers) {
+  if (batching_ && was_from_peers && !pace.from_peers) {
     retry_timer_->disable();
     follow();
   }
@@ -172,32 +172,32 @@
 void TableWatcher::note_newer(StoreVersion version) {
   newest_hint_ = std::max(newest_hint_, version);
   if (newest_hint_ > newest_row_ && !hint_timer_->enabled()) {
-    hint_timer_->enable(patience());
+    hint_timer_->enable(hint_delay());
   }
 }
 
-Duration TableWatcher::patience() const {
-  return pace_.from_peers ? knobs_.peers_gather : knobs_.hint_patience;
+Duration TableWatcher::hint_delay() const {
+  return pace_.from_peers ? knobs_.peer_batch_delay : knobs_.hint_timeout;
 }
 
 void TableWatcher::check_hint() {
-  const bool gathers = !following_ && failures_ == 0;
-  if (!behind() || (gathers && !pace_.from_peers)) {
+  const bool batching = !following_ && failures_ == 0;
+  if (!behind() || (batching && !pace_.from_peers)) {
     return;
   }
-  hint_timer_->enable(patience());
+  hint_timer_->enable(hint_delay());
   if (pace_.from_peers && failures_ == 0) {
     if (on_missed_) {
       on_missed_(newest_hint_);
     }
-    return;  // the store is asked in its turn
+    return;  // the store is asked at its regular interval
   }
-  // The first time only the answer may have been lost.
+  // The first time, possibly only the answer was lost.
   if ((failures_ > 0 || ++misses_ > 1) && on_missed_) {
     on_missed_(newest_hint_);
   }
   if (!following_) {
-    return;  // the store has just refused; it is asked again soon
+    return;  // the store has just refused; a retry is scheduled
   }
   logger_.write(LogLevel::kInfo, "change_missed",
                 {{"table", table_},
@@ -209,7 +209,7 @@
 void TableWatcher::handle_changes(const Expected<TableChanges>& changes) {
   following_ = false;
   if (!changes && changes.error().kind == ErrorKind::kNotFound) {
-    heard();
+    note_answer();
     logger_.write(LogLevel::kWarning, "table_history_lost",
                   {{"table", table_}, {"version", std::to_string(followed_)}});
     list();
@@ -219,10 +219,10 @@
     retry(changes.error(), [this] { follow(); });
     return;
   }
-  heard();
+  note_answer();
   as_of_ = std::max(as_of_, follow_asked_);
   for (const StoredRow& row : changes->rows) {
-    tell(row);
+    notify(row);
   }
   followed_ = std::max(followed_, changes->stamp.version);
   follow_later(!changes->rows.empty());
@@ -239,7 +239,7 @@
   by_version_.emplace(now, &entry);
 }
 
-void TableWatcher::tell(const StoredRow& row) {
+void TableWatcher::notify(const StoredRow& row) {
   newest_row_ = std::max(newest_row_, row.version);
   auto& entry = *known_.try_emplace(row.key).first;
   Known& known = entry.second;
@@ -286,14 +286,14 @@
 
 void TableWatcher::learn(const table_page& page) {
   for (const StoredRow& row : page.rows) {
-    tell(row);
+    notify(row);
   }
   if (page.whole) {
     std::set<StoredRowKey> present;
     for (const StoredRow& row : page.rows) {
       present.insert(row.key);
     }
-    tell_gone([&](const StoredRowKey& key) { return present.contains(key); }, page.through);
+    remove_absent([&](const StoredRowKey& key) { return present.contains(key); }, page.through);
   }
   const bool continues = page.whole || (listed_ && page.since <= followed_);
   if (!continues || page.through <= followed_) {
@@ -304,7 +304,7 @@
   as_of_ = std::max(as_of_, time_source_.monotonic_now() - page.age);
   if (!std::exchange(listed_, true)) {
     on_large_ = nullptr;
-    retry_timer_->disable();  // of a list that the store refused
+    retry_timer_->disable();  // it may be set for a list that the store refused
     logger_.write(LogLevel::kInfo, "table_copied",
                   {{"table", table_},
                    {"version", std::to_string(followed_)},
@@ -314,21 +314,21 @@
   }
 }
 
-// What was known and is not present is gone, unless it is newer than that version.
-void TableWatcher::tell_gone(const std::function<bool(const StoredRowKey&)>& present,
-                             StoreVersion version) {
-  std::vector<StoredRow> gone;
+// Marks known rows that are not present as removed, unless they are newer than that version.
+void TableWatcher::remove_absent(const std::function<bool(const StoredRowKey&)>& present,
+                                 StoreVersion version) {
+  std::vector<StoredRow> absent;
   for (const auto& [key, known] : known_) {
     if (!known.removed && known.version <= version && !present(key)) {
-      gone.push_back({key, "", version, true});
+      absent.push_back({key, "", version, true});
     }
   }
-  for (const StoredRow& row : gone) {
-    tell(row);
+  for (const StoredRow& row : absent) {
+    notify(row);
   }
 }
 
-void TableWatcher::heard() {
+void TableWatcher::note_answer() {
   last_heard_ = time_source_.monotonic_now();
   misses_ = 0;
   if (std::exchange(failures_, 0U) > 0) {
@@ -343,8 +343,8 @@
   if (failures_++ == 0) {
     logger_.write(LogLevel::kWarning, "store_lost", {{"table", table_}, {"reason", error.message}});
   }
-  constexpr uint32_t kMostDoublings = 8;
-  const Duration delay = std::min(knobs_.first_retry * (1U << std::min(failures_, kMostDoublings)),
+  constexpr uint32_t kMaxDoublings = 8;
+  const Duration delay = std::min(knobs_.first_retry * (1U << std::min(failures_, kMaxDoublings)),
                                   knobs_.longest_retry);
   retry_action_ = std::move(action);
   const Duration pause = std::max(delay, error.retry_after.value_or(Duration(0)));
--- a/src/watch/table_watcher.h
+++ b/src/watch/table_watcher.h
@@ -1,6 +1,6 @@
-// Keeps up with one table of the store: lists its partitions, then follows its changes, and lists
-// again when the history is gone. Each row is told at most once for each of its versions, and never
-// in an older version after a newer one, whatever the store answers.
+// Watches one table of the store: lists its partitions, then follows its changes, and lists again
+// when the history is gone. The observer is notified at most once of each version of a row, and
+// never of an older version after a newer one, whatever the store answers.
 #pragma once
 
 #include <algorithm>
@@ -22,13 +22,13 @@
 class TableObserver {
  public:
   virtual ~TableObserver() = default;
-  // A row has changed, or is gone (removed).
+  // A row has changed or was removed.
   virtual void on_row(const StoredRow& row) = 0;
-  // All rows have been told once.
+  // on_row() has been called for all rows.
   virtual void on_listed() {}
 };
 
-// Hands the rows of one table to several observers, which must outlive it.
+// Forwards the rows of one table to several observers, which must outlive it.
 class observer_list : public TableObserver {
  public:
   explicit observer_list(std::vector<TableObserver*> observers)
@@ -48,85 +48,84 @@
   const std::vector<TableObserver*> observers_;
 };
 
-// Rows of a table that one node hands to another.
+// Rows of a table that one node sends to another.
 struct table_page {
   std::vector<StoredRow> rows;
-  // The rows tell all that has changed behind `since` and up to `through`, and perhaps some later
-  // changes. 0: they are some rows only.
+  // The rows contain all changes after `since` and up to `through`, and possibly some later ones.
+  // 0: they are individual rows.
   StoreVersion since = 0;
   StoreVersion through = 0;
-  // They are all rows of the table; those that it lacks are gone.
+  // Whether these are all rows of the table; rows that are missing were removed.
   bool whole = false;
-  Duration age{0};  // the table stood like this so long ago, or newer
+  Duration age{0};  // maximum age of the rows
 };
 
-// How often a table is asked for.
+// How often the changes of a table are requested.
 struct WatchPace {
-  // How long the store may hold the answer back when nothing changes. Bounds how long a lost
-  // connection goes unnoticed where no other sign tells of it.
+  // How long the store may delay the answer when nothing changes (long polling). Limits how long a
+  // lost connection goes undetected without other indications.
   Duration longest_wait = std::chrono::milliseconds(1500);
-  // After changes have come, the next are asked for this much later, so that they come together.
-  // Every change of a table goes to every node: a change each would cost a call of each node.
+  // After changes have arrived, the next ones are requested this much later, so that they arrive
+  // together: every change goes to every node, and would otherwise cost a call per node.
   Duration gather{0};
-  // Peers tell of changes and hand them over. The store is only asked each `gather` whether there
-  // is anything else: mostly it sends no row.
+  // Peers report changes and send their rows. The store is only asked once per such interval for
+  // further changes, and usually returns no row.
   bool from_peers = false;
 };
 
 struct TableWatcherKnobs {
   WatchPace pace;
-  // Other nodes know of a change for this long before this one takes its own question for lost.
-  // The store answers all nodes within some 10 ms of each other; while it is slow, this costs one
-  // call more.
-  Duration hint_patience = std::chrono::milliseconds(150);
-  // The same where rows come from peers: changes that come closer together are handed over
-  // together.
-  Duration peers_gather = std::chrono::milliseconds(300);
+  // How long other nodes have known of a change before this one considers its own request lost.
+  // The store answers all nodes within about 10 ms of each other; while it is slow, this costs one
+  // additional call.
+  Duration hint_timeout = std::chrono::milliseconds(150);
+  // The same if rows come from peers: changes that are closer together are sent together.
+  Duration peer_batch_delay = std::chrono::milliseconds(300);
   Duration first_retry = std::chrono::milliseconds(100);
   Duration longest_retry = std::chrono::milliseconds(800);
-  // The values of rows are kept, so that they can be handed to other nodes.
+  // Keeps the values of rows, so that they can be sent to other nodes.
   bool keep_values = false;
-  // Spreads repeated questions over twice the pause, so that all nodes that the store turned away
-  // together don't come back together. Null: they are not spread. Must outlive the watcher.
+  // Adds jitter of up to the retry delay, so that nodes that the store refused together do not all
+  // retry together. Null: no jitter. Must outlive the watcher.
   RandomGenerator* random = nullptr;
 };
 
 class TableWatcher {
  public:
-  // @param partitions those that are listed.
+  // @param partitions the partitions to list.
   // @param observer must outlive the watcher.
   TableWatcher(TimeSource& time_source, Dispatcher& dispatcher, WatchedStore& store, Logger& logger,
                std::string table, std::vector<std::string> partitions, TableObserver& observer,
                const TableWatcherKnobs& knobs = {});
 
   void start();
-  // Lists the table unless it is large: then `on_large` is called behind its first rows, and the
-  // rest is left to begin_with() or start().
+  // Lists the table unless it is large: then `on_large` is called after its first rows, and the
+  // rest is left to learn() or start().
   void start_unless_large(std::function<void()> on_large);
-  // Asks for changes anew if an answer is awaited: it may be lost.
+  // Requests changes again if an answer is pending: it may be lost.
   void refresh();
   void set_pace(const WatchPace& pace);
-  // There is something new that is needed now: does not gather further changes.
+  // Requests the next changes without further delay, because a change is needed now.
   void hurry();
-  // Another node knows a row of the table in this version. If it does not arrive here too, the
-  // answer that this node waits for is lost: it asks again.
+  // Another node has a row of the table with this version. If the row does not arrive here too, the
+  // pending answer is considered lost and the changes are requested again.
   void note_newer(StoreVersion version);
-  // The newest version of a row that is known.
+  // The newest known version of a row.
   StoreVersion newest_row() const { return newest_row_; }
-  // Whether another node knows a newer row.
+  // Whether another node has a newer row.
   bool behind() const { return newest_hint_ > std::max(newest_row_, followed_); }
-  // A row that another node has from the store.
-  void learn(const StoredRow& row) { tell(row); }
+  // Applies a row that another node has read from the store.
+  void learn(const StoredRow& row) { notify(row); }
   // All changes up to here are known.
   StoreVersion known_through() const { return followed_; }
-  // @return what has changed behind that version, or the whole table where this node doesn't know
-  // what was removed since then; nothing before the table has been listed. Needs keep_values.
+  // @return the changes after that version, or the whole table if this node does not know which
+  // rows were removed since then; nothing before the table has been listed. Requires keep_values.
   std::optional<table_page> page_after(StoreVersion since) const;
-  // How many rows that page would have, found without making it.
+  // The number of rows of that page, without building it.
   size_t page_rows(StoreVersion since) const;
-  // What a peer hands over. A whole page stands for the list, if that has not been made yet.
+  // Applies a page from a peer. A whole page replaces the initial list of the table.
   void learn(const table_page& page);
-  // Called when a row that other nodes know has not arrived in time.
+  // Called when a row that other nodes have has not arrived in time.
   void set_on_missed(std::function<void(StoreVersion)> callback) {
     on_missed_ = std::move(callback);
   }
@@ -134,12 +133,13 @@
   void set_on_regained(std::function<void()> callback) { on_regained_ = std::move(callback); }
   // Whether the table has been listed once.
   bool listed() const { return listed_; }
-  // Whether the last call failed, and since when the store has not answered.
+  // Whether the last call failed.
   bool disconnected() const { return failures_ > 0; }
+  // When the store last answered.
   MonotonicTime last_heard() const { return last_heard_; }
-  // What is known here is the table as it stood so long ago, or newer: since the last question that
-  // has been answered was asked. Only the store's clock could tell when it made an answer, and that
-  // may drift, jump or be read late. Infinite in effect until the table has been listed.
+  // Maximum age of this view of the table: the time since the last answered request was sent. When
+  // the store generated the answer is only known by its own clock, which may drift, jump or be read
+  // late. Effectively infinite until the table has been listed.
   Duration age() const { return time_source_.monotonic_now() - as_of_; }
 
  private:
@@ -149,7 +149,7 @@
     std::string value;  // with keep_values
   };
 
-  void tell_gone(const std::function<bool(const StoredRowKey&)>& present, StoreVersion version);
+  void remove_absent(const std::function<bool(const StoredRowKey&)>& present, StoreVersion version);
   void list();
   void list_partition(size_t index, const std::string& from);
   void handle_page(size_t index, const RangePage& page);
@@ -157,15 +157,15 @@
   void follow();
   void follow_later(bool changed);
   void handle_changes(const Expected<TableChanges>& changes);
-  void tell(const StoredRow& row);
-  // Keeps the order of the versions. @param before that of the row until now.
+  void notify(const StoredRow& row);
+  // Updates by_version_. @param before the previous version of the row.
   void index(const std::pair<const StoredRowKey, Known>& entry, StoreVersion before,
              StoreVersion now);
   void retry(const Error& error, std::function<void()> action);
-  void heard();
+  void note_answer();
   void check_hint();
-  // From a hint until this node does something about it.
-  Duration patience() const;
+  // Delay from a hint until this node acts on it.
+  Duration hint_delay() const;
 
   TimeSource& time_source_;
   WatchedStore& store_;
@@ -178,27 +178,27 @@
   StoreVersion newest_row_ = 0;
   StoreVersion newest_hint_ = 0;
   std::map<StoredRowKey, Known> known_;
-  // With keep_values: the entries of known_ in the order of their versions.
+  // With keep_values: the entries of known_, ordered by version.
   std::multimap<StoreVersion, const std::pair<const StoredRowKey, Known>*> by_version_;
-  // Of the list under way: the keys seen and the oldest version of its pages.
+  // The list in progress: the keys seen and the oldest version of the pages of each partition.
   std::map<StoredRowKey, StoreVersion> listing_;
   std::map<std::string, StoreVersion> partition_versions_;
   StoreVersion list_version_ = 0;
   StoreVersion followed_ = 0;  // all changes up to here are known
-  // Of what has changed up to here, rows that came and went again are not known.
+  // Rows that were added and removed up to this version may be unknown.
   StoreVersion complete_since_ = 0;
   bool listed_ = false;
   uint32_t failures_ = 0;
-  uint32_t misses_ = 0;             // hints in a row without the row, since the store answered last
-  bool following_ = false;          // an answer with changes is awaited
-  bool gathering_ = false;          // changes have come, and the next are asked for later
-  uint64_t asked_ = 0;              // follow calls made; answers to any but the last are left aside
+  uint32_t misses_ = 0;             // consecutive hints without their row since the last answer
+  bool following_ = false;          // an answer with changes is pending
+  bool batching_ = false;           // changes have arrived, and the next request is delayed
+  uint64_t follow_calls_ = 0;       // number of follow calls; only the answer to the last is used
   std::function<void()> on_large_;  // while it is not known whether the table is large
   std::function<void()> on_regained_;
   std::function<void(StoreVersion)> on_missed_;
   MonotonicTime last_heard_{};
-  MonotonicTime as_of_{};       // when the last question that has been answered was asked
-  MonotonicTime list_asked_{};  // when the list under way began
+  MonotonicTime as_of_{};       // when the last answered request was sent
+  MonotonicTime list_asked_{};  // when the list in progress began
   MonotonicTime follow_asked_{};
   std::function<void()> retry_action_;
   TimerPtr retry_timer_;
--- a/tests/watch/first_copy_test.cc
+++ b/tests/watch/first_copy_test.cc
@@ -1,4 +1,4 @@
-// A node that starts in a large fleet gets its table from a peer, and it is the store's table.
+// A node that starts in a large fleet copies a table from a peer and ends up with the store's rows.
 #include "chalkshed/first_copy.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 
 constexpr const char* kTable = "t";
 
-class NamedRows : public TableObserver {
+class RecordingObserver : public TableObserver {
  public:
   void on_row(const StoredRow& row) override {
     if (row.removed) {
@@ -28,10 +28,10 @@
   int listed = 0;
 };
 
-// Counts what is read from the store.
-class CountedStore : public WatchedStore {
+// Counts the pages that are read from the store.
+class CountingStore : public WatchedStore {
  public:
-  explicit CountedStore(WatchedStore& inner) : inner_(inner) {}
+  explicit CountingStore(WatchedStore& inner) : inner_(inner) {}
   void read_range(RangeRead range, Callback<RangePage> callback) override {
     ++pages;
     if (fail_every != 0 && pages % fail_every == 0) {
@@ -48,7 +48,7 @@
     inner_.commit(std::move(transaction), std::move(callback));
   }
   int pages = 0;
-  int fail_every = 0;  // each so many pages one is refused; 0: none
+  int fail_every = 0;  // refuses every fail_every-th page; 0: none
 
  private:
   WatchedStore& inner_;
@@ -69,8 +69,8 @@
               [this] { return source; }, [this] { return peers; }) {}
     Address address;
     MemoryWatchedStore memory;
-    CountedStore store;
-    NamedRows rows;
+    CountingStore store;
+    RecordingObserver rows;
     TableWatcher watcher;
     row_handover_server server;
     copy_source source = copy_source::kPeers;
@@ -81,15 +81,15 @@
   FirstCopyTest() {
     client.on_fetch = [this](const Address& server, const HttpRequest& request,
                              Callback<HttpResponse> callback) {
-      ++questions;
+      ++requests;
       const auto found = nodes.find(server.ip);
       if (found == nodes.end()) {
-        callback(tl::unexpected(not_run(ErrorKind::kUnavailable, "nobody listens", "none")));
+        callback(tl::unexpected(not_run(ErrorKind::kUnavailable, "connection refused", "none")));
         return;
       }
       auto seen = std::make_shared<SeenAnswer>();
       found->second->server.handle(request, std::make_unique<FakeWriter>(seen));
-      if (spoil && !seen->body.empty()) {
+      if (corrupt_answers && !seen->body.empty()) {
         seen->body.erase(0, 1);
       }
       callback(HttpResponse{seen->status, {}, seen->body});
@@ -101,7 +101,7 @@
     shared.rows.commit(transaction);
     shared.wake_followers();
   }
-  // Rows enough for a table that is not listed with one call.
+  // Writes enough rows that one call does not list the table.
   void fill(int rows = 300) {
     for (int row = 0; row < rows; ++row) {
       put("row-" + std::to_string(row), "v");
@@ -137,28 +137,28 @@
   ScriptedWorkers client;
   NullLogger logger;
   std::map<std::string, std::unique_ptr<Node>> nodes;
-  int questions = 0;
-  bool spoil = false;
+  int requests = 0;
+  bool corrupt_answers = false;
 };
 
-TEST_F(FirstCopyTest, APeersCopyCostsTheStoreNothing) {
+TEST_F(FirstCopyTest, ACopyFromAPeerReadsOnlyOnePageFromTheStore) {
   fill(2000);
   start("first", copy_source::kStore);
   clock.run_for(milliseconds(100));
   Node& second = start("second", copy_source::kPeers);
   clock.run_for(milliseconds(300));
   EXPECT_EQ(second.rows.values, stored());
-  EXPECT_EQ(second.store.pages, 1) << "by which it has seen that the table is large";
+  EXPECT_EQ(second.store.pages, 1) << "the page that shows that the table is large";
   EXPECT_EQ(second.rows.listed, 1);
-  EXPECT_EQ(questions, 1);
+  EXPECT_EQ(requests, 1);
 }
 
-TEST_F(FirstCopyTest, WhatChangesMeanwhileAndLaterIsFollowed) {
+TEST_F(FirstCopyTest, ChangesDuringAndAfterTheCopyAreFollowed) {
   fill();
   put("goes", "1");
   Node& first = start("first", copy_source::kStore);
   clock.run_for(milliseconds(50));
-  first.memory.set_cut(true);  // its copy is old
+  first.memory.set_cut(true);  // its copy becomes stale
   put("goes", std::nullopt);
   put("comes", "1");
   Node& second = start("second", copy_source::kPeers);
@@ -169,8 +169,9 @@
   EXPECT_EQ(second.rows.values, stored());
 }
 
-// The history behind an old copy may be gone: the table is then listed, and rows that it lacks go.
-TEST_F(FirstCopyTest, ACopyOlderThanTheHistoryIsMadeGoodFromTheStore) {
+// If the history after an old copy is gone, the table is listed, and rows missing there are
+// removed.
+TEST_F(FirstCopyTest, ACopyOlderThanTheHistoryIsReplacedByAListFromTheStore) {
   fill();
   put("goes", "1");
   Node& first = start("first", copy_source::kStore);
@@ -185,7 +186,7 @@
   EXPECT_GE(second.store.pages, 2);
 }
 
-TEST_F(FirstCopyTest, ANodeWithoutACopyRefusesAtOnceAndTheOtherReadsTheStoreInTheEnd) {
+TEST_F(FirstCopyTest, WithoutACopyAtAnyPeerANodeReadsTheStoreAfterATimeout) {
   fill();
   Node& one = start("one", copy_source::kPeers);
   Node& two = start("two", copy_source::kPeers);
@@ -195,18 +196,18 @@
   clock.run_for(seconds(6));
   EXPECT_EQ(one.rows.values, stored());
   EXPECT_EQ(two.rows.values, stored());
-  EXPECT_EQ(one.store.pages + two.store.pages, 3) << "the second has it from the first";
+  EXPECT_EQ(one.store.pages + two.store.pages, 3) << "the second node copies it from the first";
 }
 
-TEST_F(FirstCopyTest, BytesThatFormNoCopyAreAskedOfAnother) {
+TEST_F(FirstCopyTest, AMalformedCopyIsRequestedAgain) {
   fill();
   start("first", copy_source::kStore);
   clock.run_for(milliseconds(50));
-  spoil = true;
+  corrupt_answers = true;
   Node& second = start("second", copy_source::kPeers);
   clock.run_for(seconds(1));
   EXPECT_EQ(second.rows.listed, 0);
-  spoil = false;
+  corrupt_answers = false;
   clock.run_for(seconds(1));
   EXPECT_EQ(second.rows.values, stored());
   EXPECT_EQ(second.store.pages, 1);
@@ -218,10 +219,10 @@
   Node& second = start("second", copy_source::kPeers);
   clock.run_for(milliseconds(20));
   EXPECT_EQ(second.rows.values, stored());
-  EXPECT_EQ(questions, 0);
+  EXPECT_EQ(requests, 0);
 }
 
-TEST_F(FirstCopyTest, WhileTheNodesAreNotKnownItWaitsForAMomentOnly) {
+TEST_F(FirstCopyTest, WithoutANodeListItReadsTheStoreAfterAShortTimeout) {
   fill();
   Node& node = start("node", copy_source::kUnknown);
   clock.run_for(seconds(1));
@@ -230,7 +231,7 @@
   EXPECT_EQ(node.rows.values, stored());
 }
 
-TEST_F(FirstCopyTest, ANodeGivesFewCopiesAtATimeAndAllHaveOneSoon) {
+TEST_F(FirstCopyTest, ANodeSendsFewCopiesAtATimeAndAllNodesHaveOneSoon) {
   fill();
   start("a-relay", copy_source::kStore);
   start("b-relay", copy_source::kStore);
@@ -251,11 +252,11 @@
     EXPECT_EQ(node->rows.values, stored()) << name;
     pages += node->store.pages;
   }
-  EXPECT_LE(pages, 200 + 20) << "of 200 nodes few read more than the first page";
+  EXPECT_LE(pages, 200 + 20) << "few of 200 nodes read more than the first page";
 }
 
-// A list that began anew with each refused page would need never end.
-TEST_F(FirstCopyTest, AListGoesOnAtThePageThatTheStoreRefused) {
+// A list that restarted after each refused page might never end.
+TEST_F(FirstCopyTest, AListResumesAtThePageThatTheStoreRefused) {
   fill(10000);
   Node& node = start("node", copy_source::kUnknown);
   node.source = copy_source::kStore;
@@ -265,7 +266,7 @@
   EXPECT_LE(node.store.pages, 30) << "21 pages and the refused ones";
 }
 
-RC_GTEST_FIXTURE_PROP(FirstCopyTest, EveryViewIsTheStoresInTheEndAndNoneGoesBack, ()) {
+RC_GTEST_FIXTURE_PROP(FirstCopyTest, EveryViewConvergesToTheStore, ()) {
   const auto names =
       rc::gen::map(rc::gen::inRange(0, 6), [](int number) { return "n" + std::to_string(number); });
   const size_t steps = *rc::gen::inRange<size_t>(5, 30);
--- a/tests/watch/row_handover_test.cc
+++ b/tests/watch/row_handover_test.cc
@@ -1,4 +1,4 @@
-// Nodes that the store does not answer learn configurations and workers from their peers.
+// Nodes that the store does not answer get configurations and workers from their peers.
 #include "chalkshed/row_handover.h"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
   }
 }
 
-TEST(RowHandoverTest, AmongManyNodesToo) {
+TEST(RowHandoverTest, ManyNodesThatLostTheStoreLearnANewConfigurationFromPeers) {
   ServingCluster cluster(1);
   for (int number = 0; number < 30; ++number) {
     cluster.start_node("a" + std::to_string(number), "zone-a");
@@ -45,7 +45,7 @@
   }
 }
 
-TEST(RowHandoverTest, WorkersThatComeAndLeaveAreHandedOnToo) {
+TEST(RowHandoverTest, AddedAndRemovedWorkersAreLearnedFromPeers) {
   ServingCluster cluster(3);
   cluster.clock.run_for(seconds(3));
   cluster.nodes.at("n2")->store.set_cut(true);
@@ -59,7 +59,7 @@
   EXPECT_FALSE(workers.find("i-1")->listed);
 }
 
-TEST(RowHandoverTest, WhatIsInForceNeverGoesBack) {
+TEST(RowHandoverTest, TheConfigurationVersionNeverDecreases) {
   ServingCluster cluster(2);
   cluster.clock.run_for(seconds(3));
   cluster.nodes.at("n1")->store.set_cut(true);
@@ -76,7 +76,7 @@
   EXPECT_EQ(version_at(cluster, "n1"), 3U);
 }
 
-TEST(RowHandoverTest, WhileTheStoreAnswersNothingIsAskedOfPeers) {
+TEST(RowHandoverTest, WhileTheStoreAnswersNoPeerIsAsked) {
   ServingCluster cluster(4);
   cluster.clock.run_for(seconds(2));
   for (uint64_t version = 2; version < 30; ++version) {
@@ -87,8 +87,8 @@
   EXPECT_EQ(cluster.handed_pages, 0);
 }
 
-// The peer that is asked has never had the worker's record: it listed the table after the removal.
-TEST(RowHandoverTest, ARemovalIsHandedOnAlsoByANodeThatListedTheTableLater) {
+// The serving peer has never had the worker's record: it listed the table after the removal.
+TEST(RowHandoverTest, ARemovalIsLearnedAlsoFromANodeThatListedTheTableLater) {
   ServingCluster cluster(1);
   ServingCluster* const one = &cluster;
   const auto watch = [one](MemoryWatchedStore& store, TableObserver& observer) {
@@ -122,8 +122,8 @@
   EXPECT_EQ(early_keys.keys, (std::set<std::string>{"i-0", "i-9"}));
 }
 
-// With relays, a member has changes of workers from peers: the store sends it no row.
-TEST(RowHandoverTest, AMemberOfAZoneWithRelaysHasWorkersFromPeersWithinASecond) {
+// In a zone with relays, members get changes of workers from peers: the store sends them no row.
+TEST(RowHandoverTest, AMemberOfAZoneWithRelaysLearnsWorkersFromPeersWithinASecond) {
   ServingCluster cluster(1);
   for (int number = 0; number < 59; ++number) {
     cluster.start_node("a" + std::to_string(number), "zone-a");
@@ -145,8 +145,9 @@
   EXPECT_GE(cluster.handed_pages - before, static_cast<int>(members) / 2);
 }
 
-// Nodes and workers that start together: the store sends each worker's row to few nodes. Sent to
-// all, they would be 60 x 400; 1,842 went while members did not wait for their relay, 856 now.
+// When nodes and workers start together, the store sends each worker's row to few nodes. Sending it
+// to all would be 60 x 400 rows; 1,842 were sent when members did not wait for their relay, 856
+// when they did.
 TEST(RowHandoverTest, WorkersThatStartWithAllNodesAreReadFromTheStoreByFew) {
   constexpr size_t kNodes = 60;
   constexpr size_t kWorkers = 400;
@@ -165,8 +166,8 @@
   EXPECT_LE(cluster.shared.rows_followed["servers"], kNodes * kWorkers / 20);
 }
 
-// Nobody tells of changes while all relays are cut off; the store does, within its bound.
-TEST(RowHandoverTest, MembersHaveALeavingWorkerFromTheStoreWhileTheRelaysAreCutOff) {
+// While all relays are cut off, no node reports changes; members get them from the store in time.
+TEST(RowHandoverTest, MembersLearnOfALeavingWorkerFromTheStoreWhileTheRelaysAreCutOff) {
   ServingCluster cluster(1);
   for (int number = 0; number < 59; ++number) {
     cluster.start_node("a" + std::to_string(number), "zone-a");
@@ -190,7 +191,7 @@
   }
 }
 
-TEST(RowHandoverTest, PagesAreWholeOrNothing) {
+TEST(RowHandoverTest, PagesDecodeCompletelyOrNotAtAll) {
   const std::vector<StoredRow> rows = {{{"t", "p", "k"}, std::string("v\0w", 3), 7, false},
                                        {{"t", "", "gone"}, "", 9, true}};
   const std::string bytes = encode_rows("t", rows);
--- a/tests/watch/table_watcher_test.cc
+++ b/tests/watch/table_watcher_test.cc
@@ -66,7 +66,7 @@
   EXPECT_EQ(observer.values.size(), 1200U);
 }
 
-TEST_F(TableWatcherTest, AChangeIsHeardWithinMillisecondsWithoutPolling) {
+TEST_F(TableWatcherTest, AChangeArrivesWithinMillisecondsWithoutPolling) {
   watcher.start();
   clock.run_for(milliseconds(50));
   const uint64_t calls = shared.calls;
@@ -80,8 +80,8 @@
 TEST_F(TableWatcherTest, ChangesThatComeCloseTogetherCostOneCall) {
   TableWatcherKnobs knobs;
   knobs.pace.gather = milliseconds(150);
-  TableWatcher gathering{clock, dispatcher, store, logger, "t", {""}, observer, knobs};
-  gathering.start();
+  TableWatcher batching{clock, dispatcher, store, logger, "t", {""}, observer, knobs};
+  batching.start();
   clock.run_for(milliseconds(50));
   const uint64_t calls = shared.calls;
   for (int number = 0; number < 20; ++number) {
@@ -93,7 +93,7 @@
   EXPECT_LE(shared.calls - calls, 3U);
 }
 
-TEST_F(TableWatcherTest, AnAnswerThatWasLostIsAskedForAnew) {
+TEST_F(TableWatcherTest, ALostAnswerIsRequestedAgain) {
   TableWatcherKnobs knobs;
   knobs.pace.longest_wait = seconds(60);
   TableWatcher patient{clock, dispatcher, store, logger, "t", {""}, observer, knobs};
@@ -110,8 +110,8 @@
   EXPECT_EQ(observer.values["a"], "1");
 }
 
-// Other nodes know a row that has not arrived here: the answer that would bring it is lost.
-TEST_F(TableWatcherTest, AChangeThatOthersKnowIsAskedForAnew) {
+// Other nodes have a row that has not arrived here, because the answer that contained it was lost.
+TEST_F(TableWatcherTest, AChangeKnownToOtherNodesIsRequestedAgain) {
   TableWatcherKnobs knobs;
   knobs.pace.longest_wait = seconds(60);
   TableWatcher patient{clock, dispatcher, store, logger, "t", {""}, observer, knobs};
@@ -126,7 +126,7 @@
   EXPECT_EQ(observer.values["a"], "1");
 }
 
-TEST_F(TableWatcherTest, WhatOthersKnowCostsNoCallWhenItArrivesHereToo) {
+TEST_F(TableWatcherTest, AHintCostsNoCallWhenItsRowArrives) {
   watcher.start();
   clock.run_for(milliseconds(50));
   const uint64_t calls = shared.calls;
@@ -139,7 +139,7 @@
   EXPECT_LE(shared.calls - calls, 2U);
 }
 
-TEST_F(TableWatcherTest, ListsAgainWhenTheHistoryIsGoneAndHearsOfRemovals) {
+TEST_F(TableWatcherTest, ListsAgainWhenTheHistoryIsGoneAndDetectsRemovals) {
   put("a", "1");
   put("b", "1");
   watcher.start();
@@ -154,7 +154,7 @@
   EXPECT_EQ(observer.values, (std::map<std::string, std::string>{{"b", "1"}, {"c", "1"}}));
 }
 
-TEST_F(TableWatcherTest, AnOldListTakesNothingBack) {
+TEST_F(TableWatcherTest, AStaleListRevertsNothing) {
   put("a", "1");
   const StoreVersion old = shared.rows.version();
   put("a", "2");
@@ -190,25 +190,26 @@
   EXPECT_FALSE(watcher.disconnected());
 }
 
-// An answer is as old as its question: the store may have made it at once, however late it came.
-TEST_F(TableWatcherTest, TellsHowOldWhatItKnowsMayBe) {
+// The age of an answer counts from its request: the store may have generated it immediately,
+// however late it arrived.
+TEST_F(TableWatcherTest, ReportsTheMaximumAgeOfItsView) {
   watcher.start();
   clock.run_for(milliseconds(50));
   EXPECT_LE(watcher.age(), milliseconds(50));
   clock.run_for(milliseconds(1400));
-  EXPECT_GE(watcher.age(), milliseconds(1400)) << "the question is held";
+  EXPECT_GE(watcher.age(), milliseconds(1400)) << "the answer is delayed";
   clock.run_for(milliseconds(200));
   EXPECT_LE(watcher.age(), milliseconds(1650)) << "answered after 1.5 s";
-  EXPECT_GE(watcher.age(), milliseconds(1500)) << "nothing tells when the answer was made";
+  EXPECT_GE(watcher.age(), milliseconds(1500)) << "it is unknown when the answer was generated";
   put("a", "1");
   clock.run_for(milliseconds(20));
-  EXPECT_LE(watcher.age(), milliseconds(200)) << "the next question was asked since";
+  EXPECT_LE(watcher.age(), milliseconds(200)) << "the next request was sent since then";
   store.set_cut(true);
   clock.run_for(seconds(7));
   EXPECT_GE(watcher.age(), seconds(5));
 }
 
-TEST_F(TableWatcherTest, AWatcherThatGathersChangesCanBeHurried) {
+TEST_F(TableWatcherTest, ABatchingWatcherCanBeHurried) {
   watcher.set_pace({.longest_wait = seconds(10), .gather = milliseconds(1500)});
   watcher.start();
   clock.run_for(milliseconds(50));
@@ -225,7 +226,7 @@
     watcher.hurry();
   }
   clock.run_for(milliseconds(50));
-  EXPECT_EQ(shared.calls, calls) << "nothing is asked while nothing is gathered";
+  EXPECT_EQ(shared.calls, calls) << "no request without a pending batch";
 }
 
 }  // namespace
--- a/tests/watch/view_age_test.cc
+++ b/tests/watch/view_age_test.cc
@@ -1,5 +1,5 @@
-// How old what a table's watcher knows is, where the store's answers take time on their way back,
-// and where the clocks of store and node drift.
+// The age of a table watcher's view when the store's answers are delayed and when the clocks of the
+// store and the node drift.
 #include <gtest/gtest.h>
 
 #include "emulator/memory_watched_store.h"
@@ -17,15 +17,15 @@
   void on_row(const StoredRow& /*row*/) override {}
 };
 
-// Answers are made, with their stamps, and then are on their way for some time. The clock of the
-// store runs at its own rate.
-class DistantStore : public WatchedStore {
+// Delays answers after they were generated and stamped. The clock of the store runs at its own
+// rate.
+class DelayedStore : public WatchedStore {
  public:
-  DistantStore(WatchedStore& inner, VirtualClock& clock, Dispatcher& dispatcher)
+  DelayedStore(WatchedStore& inner, VirtualClock& clock, Dispatcher& dispatcher)
       : inner_(inner), clock_(clock), dispatcher_(dispatcher) {}
   void read_range(RangeRead range, Callback<RangePage> callback) override {
     inner_.read_range(std::move(range), [this, callback](Expected<RangePage> page) {
-      call_after(dispatcher_, way_back, [callback, page] { callback(page); });
+      call_after(dispatcher_, answer_delay, [callback, page] { callback(page); });
     });
   }
   void read_changes(std::string table, StoreVersion since, Duration wait,
@@ -37,13 +37,13 @@
             changes->stamp.steady_clock =
                 now + Duration(static_cast<int64_t>(static_cast<double>(now.count()) * drift));
           }
-          call_after(dispatcher_, way_back, [callback, changes] { callback(changes); });
+          call_after(dispatcher_, answer_delay, [callback, changes] { callback(changes); });
         });
   }
   void commit(StoreTransaction transaction, Callback<StoreCommit> callback) override {
     inner_.commit(std::move(transaction), std::move(callback));
   }
-  Duration way_back{0};
+  Duration answer_delay{0};
   double drift = 0;
 
  private:
@@ -58,44 +58,45 @@
   VirtualDispatcher dispatcher{clock};
   SharedStore shared;
   MemoryWatchedStore inner{shared, clock, dispatcher};
-  DistantStore store{inner, clock, dispatcher};
+  DelayedStore store{inner, clock, dispatcher};
   NullLogger logger;
   NoObserver observer;
   TableWatcher watcher{clock, dispatcher, store, logger, "t", {""}, observer};
 };
 
-// A node that starts while answers take 1.2 s to reach it: what it knows is never newer than that.
-TEST_F(ViewAgeTest, AnAnswerThatWasLongOnItsWayIsAsOldAsThat) {
-  store.way_back = milliseconds(1200);
+// A node starts while answers take 1.2 s to reach it: the age of its view is never below that.
+TEST_F(ViewAgeTest, TheAgeIncludesTheDelayOfAnAnswer) {
+  store.answer_delay = milliseconds(1200);
   watcher.start();
-  Duration least = seconds(100);
+  Duration min_age = seconds(100);
   clock.run_for(seconds(2));
   for (int step = 0; step < 2000; ++step) {
     clock.run_for(milliseconds(10));
-    least = std::min(least, watcher.age());
+    min_age = std::min(min_age, watcher.age());
   }
-  EXPECT_GE(least, milliseconds(1200));
+  EXPECT_GE(min_age, milliseconds(1200));
 }
 
-// The store's clock runs slower than the node's by 50 parts in a million, as clocks of machines do.
-// The age of a quiet table does not grow with the days.
-TEST_F(ViewAgeTest, DriftOfClocksMakesNoSoundViewOld) {
+// The store's clock runs 50 parts per million slower than the node's, a usual drift of machine
+// clocks. The age of an unchanged table must not grow over days.
+TEST_F(ViewAgeTest, ClockDriftDoesNotAgeAnUpToDateView) {
   store.drift = -50e-6;
   watcher.start();
   clock.run_for(seconds(24 * 3600));
-  Duration most{0};
+  Duration max_age{0};
   int old = 0;
   for (int step = 0; step < 3000; ++step) {
     clock.run_for(milliseconds(10));
-    most = std::max(most, watcher.age());
+    max_age = std::max(max_age, watcher.age());
     old += watcher.age() > seconds(2) ? 1 : 0;
   }
-  // Two questions that were held for 1.5 s each: an answer is as old as its question.
-  EXPECT_LE(most, milliseconds(3100)) << old << " of 3000 looks over 2 s";
+  // Two requests whose answers were delayed for 1.5 s each: the age counts from the request.
+  EXPECT_LE(max_age, milliseconds(3100)) << old << " of 3000 samples over 2 s";
 }
 
-// The pace of an owner: three tenths of the allowed age for the pause, and for each held question.
-TEST_F(ViewAgeTest, AnOwnersPaceKeepsItsViewWithinTwoSeconds) {
+// The pace of an owner: three tenths of the allowed age for the delay between requests, and for
+// each delayed answer.
+TEST_F(ViewAgeTest, ThePaceOfAnOwnerKeepsItsViewWithinTwoSeconds) {
   watcher.set_pace({.longest_wait = milliseconds(600), .gather = milliseconds(600)});
   watcher.start();
   clock.run_for(milliseconds(500));
@@ -103,12 +104,12 @@
   transaction.writes.push_back({{"t", "", "a"}, "1"});
   shared.rows.commit(transaction);
   shared.wake_followers();
-  Duration most{0};
+  Duration max_age{0};
   for (int step = 0; step < 500; ++step) {
     clock.run_for(milliseconds(10));
-    most = std::max(most, watcher.age());
+    max_age = std::max(max_age, watcher.age());
   }
-  EXPECT_LE(most, seconds(2));
+  EXPECT_LE(max_age, seconds(2));
 }
 
 }  // namespace
