--- a/src/peers/node_name.h
+++ b/src/peers/node_name.h
@@ -1,4 +1,4 @@
-// The name of a node within that of its session.
+// Extracts the name of a node from the name of its session.
 #pragma once
 
 #include <string>
--- a/src/peers/peer_exchange.cc
+++ b/src/peers/peer_exchange.cc
@@ -12,17 +12,18 @@
 namespace {
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(250);
-// A longer time between two ticks means that this process itself stood still.
-constexpr Duration kOwnPause = std::chrono::milliseconds(1000);
+// A longer time between two ticks means that this process itself was suspended.
+constexpr Duration kMinOwnPause = std::chrono::milliseconds(1000);
 
-// What the largest datagram holds beside its head (the session's name and some numbers): an entry
-// of load or outcome takes 16 bytes, one of a job 24. Loads matter most and come first.
+// Space for entries in the largest datagram, besides its head (the session's name and some
+// numbers): a load or outcome entry takes 16 bytes, a job entry 24. Loads are most important and
+// come first.
 constexpr size_t kHeadBytes = 200;
 constexpr size_t kEntryBytes = DatagramTransport::kMaxDatagramBytes - kHeadBytes;
 constexpr size_t kBytesOfLoad = 16;
 constexpr size_t kBytesOfRemainder = 24;
-constexpr size_t kMostLoads = 40;
-constexpr size_t kMostOutcomes = 16;
+constexpr size_t kMaxLoads = 40;
+constexpr size_t kMaxOutcomes = 16;
 
 }  // namespace
 
@@ -52,9 +53,9 @@
 }
 
 void PeerExchange::start() {
-  ticked_ = time_source_.monotonic_now();
-  heard_anyone_ = ticked_;
-  store_contact_since_ = ticked_;
+  last_tick_ = time_source_.monotonic_now();
+  last_heard_any_peer_ = last_tick_;
+  store_contact_since_ = last_tick_;
   announce();
   tick();
 }
@@ -86,7 +87,7 @@
   if (session == peer.session) {
     return;
   }
-  take_loads(peer, {});
+  apply_loads(peer, {});
   peer = Peer{};
   peer.session = session;
   if (fields.is_object()) {
@@ -109,12 +110,12 @@
 
 void PeerExchange::on_listed() {
   if (!std::exchange(listed_, true)) {
-    passed_to_relay_ = 0;
+    relay_peers_hash_ = 0;
     update_relays();
   }
 }
 
-// Only the row of this session: the machine may have been started again.
+// Removes the row only if it is of this session: the node may have been restarted.
 void PeerExchange::withdraw() {
   const StoredRowKey own = {kNodeTable, "", identity_.node};
   StoreTransaction removal;
@@ -128,7 +129,7 @@
   relay_.set_known_versions(own, [this](const std::string& session, const KnownVersions& known) {
     const auto peer = peers_.find(node_of(session));
     if (peer != peers_.end() && peer->second.session == session) {
-      take_versions(peer->second, known);
+      apply_versions(peer->second, known);
     }
   });
   own_versions_ = std::move(own);
@@ -153,11 +154,11 @@
   if (relayed() != was_relayed_) {
     was_relayed_ = relayed();
     for (auto& [node, peer] : peers_) {
-      take_loads(peer, {});
+      apply_loads(peer, {});
     }
-    // Other intervals hold from now on: all peers are promised them with the next heartbeat.
-    sent_near_ = {};
-    sent_far_ = {};
+    // The intervals change: all peers are informed of the new ones with the next heartbeat.
+    last_sent_near_ = {};
+    last_sent_far_ = {};
     if (on_role_changed_) {
       on_role_changed_();
     }
@@ -167,27 +168,27 @@
 
 bool PeerExchange::may_relay(const Peer& peer) const {
   const Duration patience = knobs_.missed_heartbeats * expected_interval(peer);
-  const Duration silence = time_source_.monotonic_now() - std::max(peer.heard, peer.announced);
-  // A session lapses also because it has lost the store, which does not keep a node from relaying:
-  // if it did, all relays would change again and again while the store is down.
-  constexpr Duration kLately = std::chrono::seconds(1);
-  return silence <= patience && (!peer.lapsed || silence <= kLately) && !peer.draining;
+  const Duration silence = time_source_.monotonic_now() - std::max(peer.last_heard, peer.announced);
+  // A node whose session lapsed because it lost the store may still relay: otherwise the relays
+  // would change repeatedly while the store is down.
+  constexpr Duration kRecentSilence = std::chrono::seconds(1);
+  return silence <= patience && (!peer.lapsed || silence <= kRecentSilence) && !peer.draining;
 }
 
 void PeerExchange::update_relays() {
   relay_.forget_silent();
   const MonotonicTime now = time_source_.monotonic_now();
   const auto gone = [&](const Peer& peer) {
-    return now - std::max(peer.heard, peer.announced) > knobs_.gone_after;
+    return now - std::max(peer.last_heard, peer.announced) > knobs_.gone_after;
   };
-  // Mostly nothing has changed since the last time.
+  // Usually nothing has changed since the last call.
   uint64_t seen = announcements_ + 1;
   for (const auto& [node, peer] : peers_) {
     const bool reported = peer.lapsed && relay_.reported_lapsed(peer.session);
     seen = seen * 31 + (may_relay(peer) ? 1 : 0) + (peer.lapsed && !reported ? 2 : 0) +
            (gone(peer) ? 4 : 0);
   }
-  if (std::exchange(passed_to_relay_, seen) == seen) {
+  if (std::exchange(relay_peers_hash_, seen) == seen) {
     return;
   }
   std::vector<relay_candidate> candidates;
@@ -204,22 +205,22 @@
   relay_.set_peers(relayed() ? std::move(candidates) : std::vector<relay_candidate>{});
 }
 
-Duration PeerExchange::least_interval(bool near) const {
+Duration PeerExchange::min_interval(bool near) const {
   const size_t peers = near ? near_peers_ : far_peers_;
-  const bool notable = !near && workers_.notable_changes() != notable_told_;
+  const bool notable = !near && workers_.notable_changes() != notable_changes_sent_;
   const double far_rate =
       notable ? knobs_.notable_datagrams_per_second : knobs_.far_datagrams_per_second;
   const double rate = near ? knobs_.near_datagrams_per_second : far_rate;
   const std::chrono::duration<double> interval(static_cast<double>(peers) / rate);
-  return std::max(knobs_.least_interval, std::chrono::duration_cast<Duration>(interval));
+  return std::max(knobs_.min_interval, std::chrono::duration_cast<Duration>(interval));
 }
 
 Duration PeerExchange::view_lag() const {
   if (!relayed()) {
-    return least_interval(true);
+    return min_interval(true);
   }
-  // From a node to the relay of its zone, to the relay of another, to a node there.
-  return knobs_.least_report_interval + 2 * relay_.digest_interval();
+  // From a node to the relay of its zone, to the relay of another zone, to a node there.
+  return knobs_.min_report_interval + 2 * relay_.digest_interval();
 }
 
 Duration PeerExchange::idle_interval(bool near) const {
@@ -232,18 +233,19 @@
 
 Duration PeerExchange::expected_interval(const Peer& peer) const {
   const Duration idle = idle_interval(near(peer));
-  if (peer.promised > Duration(0)) {
-    return std::clamp(peer.promised, knobs_.heartbeat_interval, std::max(idle, knobs_.gone_after));
+  if (peer.next_heartbeat_within > Duration(0)) {
+    return std::clamp(peer.next_heartbeat_within, knobs_.heartbeat_interval,
+                      std::max(idle, knobs_.gone_after));
   }
-  // Whoever relays is reported to soon by each node of its zone.
+  // Each node of the zone reports to its relays at short intervals.
   const bool reports_here = relayed() && relay_.relaying() && near(peer);
   return reports_here ? knobs_.heartbeat_interval : idle;
 }
 
 void PeerExchange::begin_drain() {
   draining_ = true;
-  sent_far_ = {};
-  sent_near_ = {};
+  last_sent_far_ = {};
+  last_sent_near_ = {};
   send_heartbeats();
 }
 
@@ -251,45 +253,45 @@
   if (send_timer_->enabled()) {
     return;
   }
-  const Duration since = time_source_.monotonic_now() - sent_;
-  const Duration least = relayed() ? knobs_.least_report_interval : least_interval(true);
+  const Duration since = time_source_.monotonic_now() - last_sent_;
+  const Duration least = relayed() ? knobs_.min_report_interval : min_interval(true);
   send_timer_->enable(std::max(least - since, Duration(0)));
 }
 
-// Nothing could be heard while this process stood still; nobody is to blame for it, and what it
-// tells its peers must not blame its store either.
-void PeerExchange::excuse_own_pause() {
+// While this process was suspended it could not receive anything: the pause must not count as
+// silence of its peers, nor of its store in the heartbeats that it sends.
+void PeerExchange::compensate_own_pause() {
   const MonotonicTime now = time_source_.monotonic_now();
-  const Duration pause = now - ticked_;
-  ticked_ = now;
-  if (pause <= kOwnPause) {
+  const Duration pause = now - last_tick_;
+  last_tick_ = now;
+  if (pause <= kMinOwnPause) {
     return;
   }
   logger_.write(LogLevel::kWarning, "process_stood_still",
                 {{"milliseconds", milliseconds_text(pause)}});
   clock_.exclude_pause(pause);
-  heard_anyone_ += pause;
+  last_heard_any_peer_ += pause;
   for (auto& [node, peer] : peers_) {
-    peer.heard += pause;
+    peer.last_heard += pause;
     peer.announced += pause;
   }
 }
 
 void PeerExchange::tick() {
   tick_timer_->enable(kTickInterval);
-  excuse_own_pause();
+  compensate_own_pause();
   own_longest_silence_.note(time_source_.monotonic_now(), own_store_silence());
   if (own_store_silence() >= knobs_.lapse_after) {
     store_contact_since_ = time_source_.monotonic_now();
   }
-  judge_peers();
+  update_lapsed_peers();
   update_relays();
   const bool informed = hears_informed_relay();
   if (std::exchange(heard_informed_relay_, informed) != informed && on_role_changed_) {
     on_role_changed_();
   }
   const Duration idle = relayed() ? knobs_.heartbeat_interval : idle_interval(true);
-  if (time_source_.monotonic_now() - sent_ >= idle) {
+  if (time_source_.monotonic_now() - last_sent_ >= idle) {
     send_heartbeats();
   }
 }
@@ -311,19 +313,19 @@
     heartbeat.known = own_versions_();
   }
   for (const auto& [hash, worker] : workers_.active_workers()) {
-    if (worker->in_flight() > 0 && heartbeat.loads.size() < kMostLoads) {
+    if (worker->in_flight() > 0 && heartbeat.loads.size() < kMaxLoads) {
       heartbeat.loads.push_back({worker->hash, static_cast<uint16_t>(worker->online_in_flight),
                                  static_cast<uint16_t>(worker->batch_in_flight),
                                  worker->prompt_tokens_sent});
     }
-    if (worker->outcomes.worth_telling(now) && heartbeat.outcomes.size() < kMostOutcomes) {
+    if (worker->outcomes.worth_telling(now) && heartbeat.outcomes.size() < kMaxOutcomes) {
       const outcome_times& own = worker->outcomes.own();
-      PeerWorkerOutcomes told;
-      told.worker = worker->hash;
-      told.failed_ago = now - own.failed;
-      told.succeeded_ago = now - own.succeeded;
-      told.failures = static_cast<uint16_t>(std::min<uint32_t>(own.failures, UINT16_MAX));
-      heartbeat.outcomes.push_back(told);
+      PeerWorkerOutcomes reported;
+      reported.worker = worker->hash;
+      reported.failed_ago = now - own.failed;
+      reported.succeeded_ago = now - own.succeeded;
+      reported.failures = static_cast<uint16_t>(std::min<uint32_t>(own.failures, UINT16_MAX));
+      heartbeat.outcomes.push_back(reported);
     }
   }
   add_remainders(heartbeat);
@@ -345,22 +347,22 @@
 }
 
 void PeerExchange::send_heartbeats() {
-  excuse_own_pause();
+  compensate_own_pause();
   if (relayed()) {
     send_relayed();
     return;
   }
   const MonotonicTime now = time_source_.monotonic_now();
-  // Nodes of other zones mostly use other workers: they hear less often, but at once of what
-  // concerns them too.
-  const bool far_due = now - sent_far_ >= least_interval(false);
-  sent_ = now;
+  // Nodes of other zones mostly use other workers: they get fewer heartbeats, but notable changes
+  // at once.
+  const bool far_due = now - last_sent_far_ >= min_interval(false);
+  last_sent_ = now;
   Heartbeat heartbeat = make_heartbeat();
   send_to_peers(heartbeat, true, far_due);
   if (far_due) {
-    sent_far_ = now;
-    notable_told_ = workers_.notable_changes();
-  } else if (workers_.notable_changes() != notable_told_) {
+    last_sent_far_ = now;
+    notable_changes_sent_ = workers_.notable_changes();
+  } else if (workers_.notable_changes() != notable_changes_sent_) {
     load_changed();
   }
 }
@@ -380,19 +382,20 @@
   }
 }
 
-// The relays of the zone learn of every change. All others hear seldom, but at once of failures at
-// workers, as far as the rate for what is notable allows.
+// The relays of the zone get every change. All other nodes get rare heartbeats, but failures of
+// workers at once, within the rate limit of notable changes.
 void PeerExchange::send_relayed() {
   const MonotonicTime now = time_source_.monotonic_now();
   const std::chrono::duration<double> notable(static_cast<double>(peers_.size()) /
                                               knobs_.notable_datagrams_per_second);
   const bool outcomes_due = workers_.outcome_changes() != outcomes_reported_ &&
                             now - outcomes_sent_ >= std::chrono::duration_cast<Duration>(notable);
-  // A node that relays no more must hear that it is sent the next heartbeat later.
+  // A node that no longer relays must be informed that its next heartbeat comes later.
   const bool relays_changed = reported_to_ != relay_.report_to();
-  const bool near_due = outcomes_due || relays_changed || now - sent_near_ >= idle_interval(true);
-  const bool far_due = outcomes_due || now - sent_far_ >= idle_interval(false);
-  sent_ = now;
+  const bool near_due =
+      outcomes_due || relays_changed || now - last_sent_near_ >= idle_interval(true);
+  const bool far_due = outcomes_due || now - last_sent_far_ >= idle_interval(false);
+  last_sent_ = now;
   reported_to_ = relay_.report_to();
   Heartbeat heartbeat = make_heartbeat();
   heartbeat.next_within = knobs_.heartbeat_interval;
@@ -400,10 +403,10 @@
   for (const Address& relay : reported_to_) {
     datagrams_.send(relay, datagram);
   }
-  // What a relay hears first counts: this one has the same sequence number.
+  // A relay ignores this second copy, which has the same sequence number as the report above.
   send_to_peers(heartbeat, near_due, far_due);
-  sent_near_ = near_due ? now : sent_near_;
-  sent_far_ = far_due ? now : sent_far_;
+  last_sent_near_ = near_due ? now : last_sent_near_;
+  last_sent_far_ = far_due ? now : last_sent_far_;
   if (outcomes_due) {
     outcomes_sent_ = now;
     outcomes_reported_ = workers_.outcome_changes();
@@ -414,7 +417,7 @@
 
 void PeerExchange::receive(std::string_view datagram) {
   if (relay_.receive(datagram)) {
-    heard_anyone_ = time_source_.monotonic_now();
+    last_heard_any_peer_ = time_source_.monotonic_now();
     return;
   }
   if (other_reader_ && other_reader_(datagram)) {
@@ -434,18 +437,18 @@
   }
   Peer& peer = found->second;
   peer.sequence = heartbeat->sequence;
-  note_heard(peer);
-  peer.promised = heartbeat->next_within;
+  record_contact(peer);
+  peer.next_heartbeat_within = heartbeat->next_within;
   peer.draining = heartbeat->draining;
   peer.store_silence = heartbeat->store_silence;
   clock_.observe_version(heartbeat->store_version);
-  take_versions(peer, heartbeat->known);
+  apply_versions(peer, heartbeat->known);
   if (!relayed()) {
-    take_loads(peer, heartbeat->loads);
+    apply_loads(peer, heartbeat->loads);
   } else if (relay_.relaying() && near(peer)) {
     relay_.collect(found->first, heartbeat->loads);
   }
-  take_outcomes(peer, heartbeat->outcomes);
+  apply_outcomes(peer, heartbeat->outcomes);
   for (const job_remainder& remainder : heartbeat->remainders) {
     if (on_remainder_) {
       on_remainder_(remainder);
@@ -453,8 +456,8 @@
   }
 }
 
-// Of a node whose announcement is on its way; or of another system on the same addresses, whose
-// callers and workers may then meet this one's.
+// The session belongs to a node whose announcement has not arrived yet, or to another deployment on
+// the same addresses, whose callers and workers may then interfere with this one's.
 void PeerExchange::note_unknown_session(const Heartbeat& heartbeat) {
   metrics_
       .counter("chalkshed_unknown_heartbeats_total",
@@ -464,54 +467,55 @@
     on_unknown_session_();
   }
   const MonotonicTime now = time_source_.monotonic_now();
-  constexpr Duration kBetweenLines = std::chrono::seconds(5);
-  if (now - unknown_logged_ >= kBetweenLines) {
+  constexpr Duration kLogInterval = std::chrono::seconds(5);
+  if (now - unknown_logged_ >= kLogInterval) {
     unknown_logged_ = now;
     logger_.write(LogLevel::kInfo, "unknown_session_heard", {{"session", heartbeat.session}});
   }
 }
 
-void PeerExchange::take_versions(Peer& peer, const KnownVersions& known) {
+void PeerExchange::apply_versions(Peer& peer, const KnownVersions& known) {
   peer.known = known;
   if (on_versions_) {
     on_versions_(known);
   }
 }
 
-void PeerExchange::note_heard(Peer& peer) {
-  peer.heard = time_source_.monotonic_now();
-  heard_anyone_ = peer.heard;
+void PeerExchange::record_contact(Peer& peer) {
+  peer.last_heard = time_source_.monotonic_now();
+  last_heard_any_peer_ = peer.last_heard;
 }
 
-void PeerExchange::take_outcomes(const Peer& peer,
-                                 const std::vector<PeerWorkerOutcomes>& outcomes) {
+void PeerExchange::apply_outcomes(const Peer& peer,
+                                  const std::vector<PeerWorkerOutcomes>& outcomes) {
   const auto failing =
-      std::count_if(outcomes.begin(), outcomes.end(), [](const PeerWorkerOutcomes& told) {
-        return told.failed_ago && (!told.succeeded_ago || *told.failed_ago < *told.succeeded_ago);
+      std::count_if(outcomes.begin(), outcomes.end(), [](const PeerWorkerOutcomes& reported) {
+        return reported.failed_ago &&
+               (!reported.succeeded_ago || *reported.failed_ago < *reported.succeeded_ago);
       });
-  constexpr double kLeastSuspicious = 3.0;
+  constexpr double kMinSuspicious = 3.0;
   const double most = std::max(
-      kLeastSuspicious, knobs_.most_failing_share * static_cast<double>(workers_.workers().size()));
+      kMinSuspicious, knobs_.max_failing_share * static_cast<double>(workers_.workers().size()));
   if (static_cast<double>(failing) > most) {
     return;
   }
   const MonotonicTime now = time_source_.monotonic_now();
-  for (const PeerWorkerOutcomes& told : outcomes) {
+  for (const PeerWorkerOutcomes& reported : outcomes) {
     outcome_times times;
-    times.failed = told.failed_ago ? now - *told.failed_ago : MonotonicTime{};
-    times.succeeded = told.succeeded_ago ? now - *told.succeeded_ago : MonotonicTime{};
-    times.failures = told.failures;
-    if (const WorkerPtr suspect = workers_.add_peer_outcomes(told.worker, times)) {
+    times.failed = reported.failed_ago ? now - *reported.failed_ago : MonotonicTime{};
+    times.succeeded = reported.succeeded_ago ? now - *reported.succeeded_ago : MonotonicTime{};
+    times.failures = reported.failures;
+    if (const WorkerPtr suspect = workers_.add_peer_outcomes(reported.worker, times)) {
       logger_.write(LogLevel::kInfo, "worker_suspected",
                     {{"worker", suspect->record.incarnation},
                      {"told_by", peer.session},
                      {"failed_ms_ago", milliseconds_text(now - times.failed)},
-                     {"failures", std::to_string(told.failures)}});
+                     {"failures", std::to_string(reported.failures)}});
     }
   }
 }
 
-void PeerExchange::take_loads(Peer& peer, const std::vector<PeerWorkerLoad>& loads) {
+void PeerExchange::apply_loads(Peer& peer, const std::vector<PeerWorkerLoad>& loads) {
   const std::vector<digest_entry> entries = to_entries(loads);
   peer.loads.replace(workers_, entries);
   peer.loads.add_prompts(workers_, entries);
@@ -531,15 +535,15 @@
   return "none";
 }
 
-Duration PeerExchange::patience_with(const Peer& peer) const {
-  const bool alone = time_source_.monotonic_now() - heard_anyone_ > knobs_.lapse_after;
+Duration PeerExchange::lapse_timeout_of(const Peer& peer) const {
+  const bool alone = time_source_.monotonic_now() - last_heard_any_peer_ > knobs_.lapse_after;
   return std::max(alone ? knobs_.lapse_when_alone : knobs_.lapse_after,
                   knobs_.missed_heartbeats * expected_interval(peer));
 }
 
 PeerExchange::LapseReason PeerExchange::lapse_reason(const Peer& peer) const {
   const MonotonicTime now = time_source_.monotonic_now();
-  if (now - std::max(peer.heard, peer.announced) > patience_with(peer)) {
+  if (now - std::max(peer.last_heard, peer.announced) > lapse_timeout_of(peer)) {
     return LapseReason::kSilent;
   }
   if (relayed() && relay_.reported_lapsed(peer.session)) {
@@ -548,37 +552,38 @@
   return lost_store(peer) ? LapseReason::kLostStore : LapseReason::kNone;
 }
 
-// Its silence must have begun while this node had the store: after an outage for all, the first to
-// reach the store again would take the jobs of all others. A slow store returns to one after the
-// other within seconds.
+// The peer's store silence must have begun while this node reached the store: otherwise the first
+// node that reaches the store after an outage for all would take over the jobs of all others. A
+// slow store recovers for the nodes one after the other within seconds.
 bool PeerExchange::lost_store(const Peer& peer) const {
-  return peer.store_silence > store_patience() &&
-         peer.heard - store_contact_since_ >= store_patience() &&
+  return peer.store_silence > store_silence_limit() &&
+         peer.last_heard - store_contact_since_ >= store_silence_limit() &&
          own_store_silence() < knobs_.lapse_after;
 }
 
-Duration PeerExchange::store_patience() const {
+Duration PeerExchange::store_silence_limit() const {
   return store_slow() ? knobs_.slow_store_silence : knobs_.store_silence;
 }
 
-// By what this node itself sees: what peers report can't tell a slow store from a cut that most of
-// them are behind, and such a cut is to be noticed as soon as any other.
+// Based on this node's own observations only: peer reports do not distinguish a slow store from a
+// partition that affects most peers, which must be detected as fast as any other partition.
 bool PeerExchange::store_slow() const {
-  return clock_.longest_call() > knobs_.sound_store_call ||
-         own_longest_silence_.longest(time_source_.monotonic_now()) > knobs_.sound_store_silence;
+  return clock_.longest_call() > knobs_.healthy_store_call ||
+         own_longest_silence_.longest(time_source_.monotonic_now()) > knobs_.healthy_store_silence;
 }
 
-void PeerExchange::log_judgement(const std::string& node, const Peer& peer,
-                                 LapseReason reason) const {
+void PeerExchange::log_lapse_change(const std::string& node, const Peer& peer,
+                                    LapseReason reason) const {
   const bool now_lapsed = reason != LapseReason::kNone;
-  logger_.write(LogLevel::kInfo, now_lapsed ? "session_lapsed" : "session_regained",
-                {{"peer", node},
-                 {"session", peer.session},
-                 {"reason", name_of(reason)},
-                 {"heard_ms_ago", milliseconds_text(time_source_.monotonic_now() - peer.heard)},
-                 {"patience_ms", milliseconds_text(patience_with(peer))},
-                 {"store_patience_ms", milliseconds_text(store_patience())},
-                 {"its_store_silence_ms", milliseconds_text(peer.store_silence)}});
+  logger_.write(
+      LogLevel::kInfo, now_lapsed ? "session_lapsed" : "session_regained",
+      {{"peer", node},
+       {"session", peer.session},
+       {"reason", name_of(reason)},
+       {"heard_ms_ago", milliseconds_text(time_source_.monotonic_now() - peer.last_heard)},
+       {"patience_ms", milliseconds_text(lapse_timeout_of(peer))},
+       {"store_patience_ms", milliseconds_text(store_silence_limit())},
+       {"its_store_silence_ms", milliseconds_text(peer.store_silence)}});
   if (now_lapsed) {
     metrics_
         .counter("chalkshed_sessions_lapsed_total",
@@ -588,17 +593,17 @@
   }
 }
 
-void PeerExchange::judge_peers() {
+void PeerExchange::update_lapsed_peers() {
   const MonotonicTime now = time_source_.monotonic_now();
   for (auto& [node, peer] : peers_) {
     const LapseReason reason = lapse_reason(peer);
     const bool now_lapsed = reason != LapseReason::kNone;
     if (now_lapsed != peer.lapsed) {
-      log_judgement(node, peer, reason);
+      log_lapse_change(node, peer, reason);
     }
     peer.lapsed = now_lapsed;
-    if (now - peer.heard > std::max(knobs_.load_lifetime, 3 * expected_interval(peer))) {
-      take_loads(peer, {});
+    if (now - peer.last_heard > std::max(knobs_.load_lifetime, 3 * expected_interval(peer))) {
+      apply_loads(peer, {});
     }
   }
 }
--- a/src/peers/peer_queries.cc
+++ b/src/peers/peer_queries.cc
@@ -1,5 +1,5 @@
-// What others ask of a PeerExchange: which nodes there are, which live, and whom to turn to.
-// Changes nothing but since when a session that is not announced has been asked for.
+// Queries of PeerExchange: announced nodes, their liveness, and the selection of peers. They change
+// no state except for the first lookup time of unannounced sessions.
 #include <algorithm>
 
 #include "src/core/digest.h"
@@ -8,8 +8,8 @@
 
 namespace chalkshed {
 
-// Any of them: a node that lacks a row is seldom the only one. Of this zone, if there are any: what
-// goes between zones has its price.
+// Selects a random one, because a node that lacks a row is rarely the only one. Peers in this zone
+// are preferred: traffic between zones is charged.
 std::optional<Address> PeerExchange::peer_knowing(StoreVersion KnownVersions::*table,
                                                   StoreVersion version, uint64_t draw) const {
   std::vector<const Peer*> near_ones;
@@ -19,8 +19,9 @@
       (near(peer) ? near_ones : far_ones).push_back(&peer);
     }
   }
-  const std::vector<const Peer*>& knowing = near_ones.empty() ? far_ones : near_ones;
-  return knowing.empty() ? std::nullopt : std::optional(knowing[draw % knowing.size()]->address);
+  const std::vector<const Peer*>& candidates = near_ones.empty() ? far_ones : near_ones;
+  return candidates.empty() ? std::nullopt
+                            : std::optional(candidates[draw % candidates.size()]->address);
 }
 
 std::optional<Address> PeerExchange::address_of(const std::string& session) const {
@@ -40,8 +41,9 @@
   return addresses;
 }
 
-// The store is taken for away only while most of all nodes, this one among them, say so themselves
-// and have said it lately. A node that is cut off hears too few; one that is dead is not missed.
+// The store is considered down for all only while a majority of all nodes, including this one, has
+// recently reported that it does not answer them. A node that is cut off hears too few reports, and
+// a dead node does not prevent a majority.
 bool PeerExchange::others_may_reach_store() const {
   if (!listed_) {
     return true;
@@ -54,12 +56,12 @@
       continue;
     }
     ++nodes;
-    const bool fresh = now - peer.heard <= knobs_.store_word_lifetime;
-    const bool away = peer.store_silence >= knobs_.store_contact;
-    if (fresh && !away) {
+    const bool fresh = now - peer.last_heard <= knobs_.store_report_lifetime;
+    const bool store_silent = peer.store_silence >= knobs_.store_contact;
+    if (fresh && !store_silent) {
       return true;
     }
-    without_store += fresh && away ? 1 : 0;
+    without_store += fresh && store_silent ? 1 : 0;
   }
   return 2 * without_store <= nodes;
 }
@@ -75,8 +77,8 @@
   });
 }
 
-// Of two that are drawn, the one whose store answered it last: a peer that has lost the store only
-// now still looks well, and the nodes that ask should not all come to the same peer.
+// Selects of two random peers the one that the store answered most recently: a peer that has just
+// lost the store still looks healthy, and not all nodes should select the same peer.
 std::optional<Address> PeerExchange::peer_with_store(uint64_t seed) const {
   struct Candidate {
     const Peer* peer = nullptr;
@@ -86,21 +88,21 @@
   const MonotonicTime now = time_source_.monotonic_now();
   std::vector<Candidate> candidates;
   for (const auto& [node, peer] : peers_) {
-    const Duration silence = peer.store_silence + (now - peer.heard);
+    const Duration silence = peer.store_silence + (now - peer.last_heard);
     const bool serves = peer.caller_port != 0 && !peer.draining && !lapsed(peer);
     if (serves && silence < knobs_.store_contact) {
       candidates.push_back({&peer, content_hash(node, seed), silence});
     }
   }
-  constexpr size_t kDrawn = 2;
-  const auto drawn =
-      candidates.begin() + static_cast<ptrdiff_t>(std::min(kDrawn, candidates.size()));
-  std::partial_sort(candidates.begin(), drawn, candidates.end(),
+  constexpr size_t kSampleSize = 2;
+  const auto sample_end =
+      candidates.begin() + static_cast<ptrdiff_t>(std::min(kSampleSize, candidates.size()));
+  std::partial_sort(candidates.begin(), sample_end, candidates.end(),
                     [](const Candidate& a, const Candidate& b) { return a.draw < b.draw; });
   const auto best = std::min_element(
-      candidates.begin(), drawn,
+      candidates.begin(), sample_end,
       [](const Candidate& a, const Candidate& b) { return a.store_silence < b.store_silence; });
-  if (best == drawn) {
+  if (best == sample_end) {
     return std::nullopt;
   }
   return Address{best->peer->address.ip, best->peer->caller_port};
@@ -127,7 +129,7 @@
   if (peer != peers_.end() && seen < peer->second.announcement) {
     return false;
   }
-  // Its announcement may be on its way.
+  // Its announcement may not have arrived yet.
   const MonotonicTime now = time_source_.monotonic_now();
   const auto [entry, is_new] = unannounced_.try_emplace(session, now);
   return now - entry->second <= knobs_.lapse_after;
--- a/src/peers/session_view.h
+++ b/src/peers/session_view.h
@@ -1,4 +1,4 @@
-// Which nodes are alive, as far as the taking over of work is concerned.
+// The view of other nodes' sessions that takeovers of work are based on.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +13,23 @@
 class SessionView {
  public:
   virtual ~SessionView() = default;
-  // Session of this start of this node.
+  // The session of this process.
   virtual const std::string& own_session() const = 0;
-  // Whether the session may still be at work. True while it cannot be told.
-  // @param seen version of the row in which the session was named: older than the node's newest
-  // announcement, it names an earlier start of the node.
+  // Whether the session may still be running. True while this is unknown.
+  // @param seen version of the row that names the session. If it is older than the node's newest
+  // announcement, the session belongs to an earlier start of the node.
   virtual bool alive(const std::string& session, StoreVersion seen) = 0;
-  // Position of this node among those that may take the key over; 0 is the first.
+  // Rank of this node among the nodes that may take over the key; 0 is the first.
   virtual size_t rank(const std::string& key) const = 0;
-  // @param seed draws one of several.
-  // @return where callers reach a peer that probably reaches the store, or nothing.
+  // @param seed selects among several peers.
+  // @return the caller address of a peer that probably reaches the store, or nothing.
   virtual std::optional<Address> peer_with_store(uint64_t seed) const = 0;
-  // Whether some other node may have the store, so that it may write what this node does not know:
-  // unless most nodes say that they don't.
+  // Whether another node may reach the store and write changes that this node does not see. False
+  // only while most nodes report that they do not reach it.
   virtual bool others_may_reach_store() const = 0;
-  // Tells the others that this node takes nothing over any more.
+  // Announces to the other nodes that this node takes over no further work.
   virtual void begin_drain() = 0;
-  // Until what one node does is known to the nodes around it.
+  // Delay until a change at one node is known to the other nodes.
   virtual Duration view_lag() const = 0;
 };
 
--- a/tests/peers/many_peers_test.cc
+++ b/tests/peers/many_peers_test.cc
@@ -1,4 +1,4 @@
-// What a node does for the announcements of its peers must not grow with the square of their
+// The work of a node for the announcements of its peers must not grow quadratically with their
 // number.
 #include <gtest/gtest.h>
 
@@ -18,7 +18,7 @@
     updates = 0;
     copied = 0;
   }
-  // They arrive as the pages of the table do: in one turn of the loop.
+  // Announces peers as a page of the table does: in one iteration of the event loop.
   void announce(size_t count) {
     for (size_t index = 0; index < count; ++index) {
       const std::string node = "n" + std::to_string(index);
@@ -46,18 +46,18 @@
       store_clock, datagrams,  workers,
       logger,      metrics,    {"own", "own#1", "zone-a", {"own", 7660}, kCallerPort}};
   size_t updates = 0;
-  size_t copied = 0;  // entries of peers handed to the modules that keep them
+  size_t copied = 0;  // peer entries passed to the callback
 };
 
-// 986 x 986 entries were copied at the start of each of 986 nodes.
-TEST_F(ManyPeersTest, APageOfAnnouncementsIsTakenInAtOnce) {
+// Without batching, each of 986 nodes that started together copied 986 x 986 entries.
+TEST_F(ManyPeersTest, APageOfAnnouncementsCausesOneUpdate) {
   announce(1000);
   EXPECT_EQ(updates, 1U);
   EXPECT_EQ(copied, 1000U);
   EXPECT_TRUE(exchange.relayed());
 }
 
-TEST_F(ManyPeersTest, TheRankAmongTheAnnouncedIsTheSameWhetherTheyLiveOrNot) {
+TEST_F(ManyPeersTest, TheAnnouncedRankDoesNotDependOnWhichNodesAreAlive) {
   announce(100);
   const std::optional<size_t> rank = exchange.announced_rank("worker");
   ASSERT_TRUE(rank);
--- a/tests/peers/peer_exchange_test.cc
+++ b/tests/peers/peer_exchange_test.cc
@@ -37,7 +37,7 @@
   EXPECT_FALSE(alive("n0", dead));
 }
 
-TEST_F(PeerExchangeTest, ANewStartEndsTheSessionBeforeAtOnce) {
+TEST_F(PeerExchangeTest, ARestartEndsThePreviousSessionAtOnce) {
   const std::string before = session("n1");
   const StoreVersion seen = cluster.shared.rows.version();
   cluster.kill_node("n1");
@@ -47,14 +47,14 @@
   EXPECT_TRUE(alive("n0", session("n1")));
 }
 
-TEST_F(PeerExchangeTest, ANodeThatLostTheStoreLapsesForThoseThatHaveIt) {
+TEST_F(PeerExchangeTest, ANodeThatLostTheStoreLapsesForNodesThatReachIt) {
   cluster.nodes.at("n1")->store.set_cut(true);
   cluster.clock.run_for(seconds(6));
   EXPECT_FALSE(alive("n0", session("n1")));
-  EXPECT_TRUE(alive("n1", session("n0"))) << "the one that is cut off judges nobody";
+  EXPECT_TRUE(alive("n1", session("n0"))) << "the node that is cut off takes no peer for lapsed";
 }
 
-TEST_F(PeerExchangeTest, OnlyAPeerThatReachesTheStoreIsNamed) {
+TEST_F(PeerExchangeTest, OnlyAPeerThatReachesTheStoreIsSelected) {
   cluster.nodes.at("n1")->store.set_cut(true);
   cluster.clock.run_for(seconds(6));
   for (uint64_t seed = 0; seed < 20; ++seed) {
@@ -65,7 +65,7 @@
   EXPECT_EQ(view("n0").peer_with_store(0), std::nullopt);
 }
 
-TEST_F(PeerExchangeTest, PeersThatReachTheStoreTakeTurns) {
+TEST_F(PeerExchangeTest, AllPeersThatReachTheStoreAreSelected) {
   std::set<std::string> named;
   for (uint64_t seed = 0; seed < 40; ++seed) {
     named.insert(view("n0").peer_with_store(seed)->ip);
@@ -73,15 +73,15 @@
   EXPECT_EQ(named, (std::set<std::string>{"n1", "n2"}));
 }
 
-TEST_F(PeerExchangeTest, NobodyLapsesWhileTheStoreIsDownForAll) {
+TEST_F(PeerExchangeTest, NoNodeLapsesWhileTheStoreIsDownForAll) {
   cluster.shared.trouble.silent = true;
   cluster.clock.run_for(seconds(10));
   EXPECT_TRUE(alive("n0", session("n1")));
 }
 
-// Of the nodes that have been without the store together, the first to reach it again would
-// otherwise take all others for cut off, by what they told it during the outage.
-TEST_F(PeerExchangeTest, NobodyLapsesWhenTheStoreReturnsToOneNodeFirst) {
+// After an outage for all nodes, the first node to reach the store again must not take the others
+// for cut off because of their reports during the outage.
+TEST_F(PeerExchangeTest, NoNodeLapsesWhenTheStoreRecoversForOneNodeFirst) {
   cluster.shared.trouble.silent = true;
   cluster.clock.run_for(seconds(6));
   cluster.nodes.at("n1")->store.set_cut(true);
@@ -100,7 +100,7 @@
   }
 }
 
-TEST_F(PeerExchangeTest, ANodeThatStoodStillBlamesNobody) {
+TEST_F(PeerExchangeTest, ASuspendedNodeTakesNoPeerForLapsed) {
   cluster.nodes.at("n0")->dispatcher.freeze();
   cluster.clock.run_for(seconds(6));
   cluster.nodes.at("n0")->dispatcher.thaw();
@@ -109,8 +109,8 @@
   EXPECT_TRUE(alive("n0", session("n1")));
 }
 
-// Many nodes that stood still together would otherwise take each other's jobs when they wake.
-TEST_F(PeerExchangeTest, ANodeThatStoodStillDoesNotBlameItsStore) {
+// Nodes that were suspended together must not take over each other's jobs when they resume.
+TEST_F(PeerExchangeTest, ASuspensionDoesNotCountAsStoreSilence) {
   for (const char* node : {"n0", "n1"}) {
     cluster.nodes.at(node)->dispatcher.freeze();
   }
@@ -126,17 +126,18 @@
   EXPECT_TRUE(alive("n2", session("n0")));
 }
 
-TEST_F(PeerExchangeTest, TakenPlacesAreKnownToOtherNodesWithinTensOfMilliseconds) {
+TEST_F(PeerExchangeTest, UsedSlotsAreKnownToOtherNodesWithinTensOfMilliseconds) {
   cluster.request("/stream/x");
   const std::string worker = cluster.workers.calls.back().header(platform::kExpectInstance);
   cluster.clock.run_for(milliseconds(50));
   EXPECT_EQ(cluster.node("n1").workers().find(worker)->others_online, 1);
   cluster.kill_node("n0");
   cluster.clock.run_for(seconds(2));
-  EXPECT_EQ(cluster.node("n1").workers().find(worker)->others_online, 0) << "it died with it";
+  EXPECT_EQ(cluster.node("n1").workers().find(worker)->others_online, 0)
+      << "the load ended with its node";
 }
 
-// A peer may use a new worker before its record has arrived here.
+// A peer may use a new worker before the worker's record has arrived here.
 TEST_F(PeerExchangeTest, ALoadThatIsReportedBeforeTheWorkerIsKnownCountsOnceItIs) {
   Heartbeat heartbeat;
   heartbeat.session = session("n0");
@@ -173,8 +174,8 @@
   EXPECT_FALSE(cluster.node("n1").workers().find(failing)->outcomes.suspect(now));
 }
 
-// A node whose own links are ill sees all workers fail; the others must not follow it.
-TEST(PeerOutcomesTest, ANodeForWhichMostWorkersFailIsNotHeeded) {
+// A node with faulty links sees all workers fail; the other nodes must not adopt its outcomes.
+TEST(PeerOutcomesTest, OutcomesOfANodeForWhichMostWorkersFailAreIgnored) {
   ServingCluster cluster(2, 8);
   cluster.clock.run_for(seconds(1));
   WorkerSet& ill = cluster.node("n0").workers();
@@ -187,7 +188,7 @@
   }
 }
 
-// Nodes n0 and n1 in one zone, many more in another.
+// Two nodes, n0 and n1, in one zone, and many more in another.
 class ZonesTest : public testing::Test {
  protected:
   static constexpr int kFarNodes = 40;
@@ -212,16 +213,16 @@
   ServingCluster cluster{2, 8};
 };
 
-TEST_F(ZonesTest, LoadsAreToldOftenInsideTheZoneAndSeldomOutside) {
+TEST_F(ZonesTest, LoadsAreReportedOftenInsideTheZoneAndRarelyOutside) {
   const int near_before = sent("n1");
   const int far_before = sent("far0");
   keep_busy();
   EXPECT_GE(sent("n1") - near_before, 14);
   EXPECT_LE(sent("far0") - far_before, 8);
-  EXPECT_GE(sent("far0") - far_before, 2) << "it must be seen to live";
+  EXPECT_GE(sent("far0") - far_before, 2) << "far nodes must see that it is alive";
 }
 
-TEST_F(ZonesTest, AFailureIsToldEverywhereAtOnce) {
+TEST_F(ZonesTest, AFailureIsReportedToAllZonesAtOnce) {
   cluster.clock.run_for(milliseconds(100));
   cluster.request("/once/x", "r1");
   ScriptedCall& call = cluster.workers.calls.back();
@@ -232,13 +233,13 @@
       cluster.node("far7").workers().find(failing)->outcomes.paused(cluster.clock.monotonic_now()));
 }
 
-TEST_F(ZonesTest, NobodyLapsesHoweverSeldomItIsHeard) {
+TEST_F(ZonesTest, NoNodeLapsesHoweverRarelyItSends) {
   cluster.clock.run_for(seconds(10));
   SessionView& view = cluster.node("far3").peers();
   EXPECT_TRUE(view.alive(cluster.node("n0").peers().own_session(), cluster.shared.rows.version()));
 }
 
-TEST(HeartbeatTest, CarriesWhatIsLeftOfJobs) {
+TEST(HeartbeatTest, CarriesJobRemainders) {
   Heartbeat heartbeat;
   heartbeat.session = "n1#1";
   heartbeat.remainders.push_back({1, 2, uint64_t{1} << 40U});
@@ -250,7 +251,7 @@
   EXPECT_EQ(read->remainders.front().tokens, uint64_t{1} << 40U);
 }
 
-TEST(HeartbeatTest, SurvivesTheWireAndRejectsNoise) {
+TEST(HeartbeatTest, RoundTripsAndRejectsMalformedBytes) {
   Heartbeat heartbeat;
   heartbeat.session = "n#1";
   heartbeat.sequence = 7;
--- a/tests/peers/slow_store_property_test.cc
+++ b/tests/peers/slow_store_property_test.cc
@@ -1,7 +1,7 @@
-// A store that is slow for all nodes, and what they make of it. Others fill the store for a while,
-// so that its answers take seconds. Judged by the silence of the store alone, peers whose questions
-// are only answered late look cut off to a node that is answered a little sooner; it takes their
-// jobs over and loads them, by calls that make the store slower still.
+// A store that is slow for all nodes because external load fills it for a while, so that its
+// answers take seconds. Judged by store silence alone, peers whose calls are only answered late
+// look cut off to a node that is answered a little sooner: it takes over and loads their jobs, with
+// calls that make the store even slower.
 #include <gtest/gtest.h>
 
 #include <rapidcheck.h>
@@ -24,9 +24,9 @@
   Duration service_time = milliseconds(4);
 };
 
-class SlowStoreRun {
+class SlowStoreScenario {
  public:
-  explicit SlowStoreRun(const SlowStoreSettings& settings)
+  explicit SlowStoreScenario(const SlowStoreSettings& settings)
       : settings_(settings), cluster_(settings.nodes, 0) {
     for (size_t number = 0; number < settings.workers; ++number) {
       cluster_.write_worker("i-" + std::to_string(number), number, "ready",
@@ -37,7 +37,7 @@
     cluster_.shared.queue.service_time = settings.service_time;
   }
 
-  // @param others share of the store's time that others take.
+  // @param others share of the store's time that external load takes.
   void run(Duration time, double others) {
     constexpr Duration kTick = milliseconds(50);
     for (Duration passed{0}; passed < time; passed += kTick) {
@@ -49,8 +49,8 @@
     }
   }
 
-  // Jobs that were taken from a node that was not cut off.
-  size_t taken_from_sound() const {
+  // Number of jobs that were taken over from a node that was not cut off.
+  size_t taken_from_connected_nodes() const {
     size_t taken = 0;
     std::map<std::string, StoredJob> before;  // by key
     const auto changes = cluster_.shared.rows.changes(kStoredJobTable, 0);
@@ -76,7 +76,7 @@
     cluster_.nodes.at(node)->store.set_cut(true);
     cut_.insert(session_of(node));
   }
-  // How many peers the node takes for lapsed.
+  // How many peers the node considers lapsed.
   size_t lapsed_for(const std::string& observer) {
     size_t lapsed = 0;
     for (const auto& [peer, node] : cluster_.nodes) {
@@ -110,7 +110,7 @@
   std::string session_of(const std::string& node) const {
     return cluster_.nodes.at(node)->node.peers().own_session();
   }
-  // As they stand, by key.
+  // The current records, by key.
   std::map<std::string, StoredJob> jobs() const {
     std::map<std::string, StoredJob> records;
     const auto changes = cluster_.shared.rows.changes(kStoredJobTable, 0);
@@ -130,7 +130,7 @@
   std::set<std::string> cut_;  // sessions
 };
 
-constexpr double kUntilFull = 1.0;  // others leave nothing of the store's time
+constexpr double kFullLoad = 1.0;  // external load takes all of the store's time
 constexpr Duration kBurst = seconds(20);
 
 SlowStoreSettings with_service_time(Duration service_time) {
@@ -140,41 +140,41 @@
 }
 
 size_t taken_in_burst(Duration service_time, double others) {
-  SlowStoreRun run(with_service_time(service_time));
+  SlowStoreScenario run(with_service_time(service_time));
   run.run(seconds(20), 0);
   run.run(kBurst, others);
   run.run(seconds(30), 0);
   EXPECT_GT(run.longest_backlog(), milliseconds(1500)) << "the store was not slow";
-  return run.taken_from_sound();
+  return run.taken_from_connected_nodes();
 }
 
-// By silence alone 19 jobs were taken from nodes that were not cut off.
-TEST(SlowStoreTest, JobsStayWithTheirOwnersWhileTheStoreIsSlow) {
+// Judged by store silence alone, 19 jobs were taken from nodes that were not cut off.
+TEST(SlowStoreTest, JobsKeepTheirOwnersWhileTheStoreIsSlow) {
   size_t taken = 0;
-  for (const double others : {0.85, 0.95, kUntilFull, 1.1}) {
+  for (const double others : {0.85, 0.95, kFullLoad, 1.1}) {
     taken += taken_in_burst(milliseconds(14), others);
   }
   EXPECT_EQ(taken, 0U);
 }
 
-// Nodes that take their own jobs once more, because an acceptance was not answered, used to come
-// again every 2.4 s with each of them. Of 50 calls a second that was 30: the store stayed full and
-// no job ended for as long as new ones came.
-TEST(SlowStoreTest, JobsEndAgainOnceTheOthersAreGone) {
-  for (const double others : {kUntilFull, 1.1}) {
-    SlowStoreRun run(with_service_time(milliseconds(20)));
+// Nodes take over their own jobs again when an acceptance got no answer. Retrying this every 2.4 s
+// for each job took 30 of 50 calls a second: the store stayed overloaded, and no job finished for
+// as long as new ones arrived.
+TEST(SlowStoreTest, JobsFinishAgainOnceTheExternalLoadEnds) {
+  for (const double others : {kFullLoad, 1.1}) {
+    SlowStoreScenario run(with_service_time(milliseconds(20)));
     run.run(seconds(20), 0);
     run.run(kBurst, others);
     run.run(seconds(80), 0);
-    constexpr size_t kUnderWay = 12;  // at most, of 2 jobs/s that take 3.3 s
-    EXPECT_GE(run.finished() + kUnderWay, run.submitted()) << others;
+    constexpr size_t kMaxUnfinished = 12;  // at most, of 2 jobs/s that take 3.3 s
+    EXPECT_GE(run.finished() + kMaxUnfinished, run.submitted()) << others;
     EXPECT_LT(run.backlog(), milliseconds(500)) << others;
   }
 }
 
-// Four of six nodes: what they tell of their store is no reason to think it slow.
-TEST(SlowStoreTest, ACutOfMostNodesIsNoticedInThreeSeconds) {
-  SlowStoreRun run(with_service_time(milliseconds(1)));
+// Four of six nodes are cut off: their reports on the store must not make it count as slow.
+TEST(SlowStoreTest, APartitionOfMostNodesIsDetectedInThreeSeconds) {
+  SlowStoreScenario run(with_service_time(milliseconds(1)));
   run.run(seconds(10), 0);
   for (const char* node : {"n0", "n1", "n2", "n3"}) {
     run.cut_off(node);
@@ -184,23 +184,23 @@
   EXPECT_EQ(run.lapsed_for("n5"), 4U);
 }
 
-TEST(SlowStoreTest, ACutIsNoticedInSixSecondsSoonAfterTheStoreWasSlow) {
-  constexpr Duration kAnswersUnderWay = seconds(2);
-  SlowStoreRun run(with_service_time(milliseconds(14)));
+TEST(SlowStoreTest, APartitionIsDetectedInSixSecondsSoonAfterTheStoreWasSlow) {
+  constexpr Duration kPendingAnswers = seconds(2);
+  SlowStoreScenario run(with_service_time(milliseconds(14)));
   run.run(seconds(5), 0);
-  run.run(kBurst, kUntilFull);
+  run.run(kBurst, kFullLoad);
   run.run(seconds(8), 0);
   run.cut_off("n0");
-  run.run(kAnswersUnderWay + seconds(6), 0);
+  run.run(kPendingAnswers + seconds(6), 0);
   EXPECT_EQ(run.lapsed_for("n1"), 1U);
 }
 
-// However slow the store is and for how long, jobs leave only the nodes that are cut off.
-RC_GTEST_PROP(SlowStoreProperty, JobsLeaveOnlyTheNodesThatAreCutOff, ()) {
+// However slow the store is and for how long, jobs are taken only from nodes that are cut off.
+RC_GTEST_PROP(SlowStoreProperty, JobsAreTakenOnlyFromNodesThatAreCutOff, ()) {
   const Duration service_time = milliseconds(*rc::gen::inRange(6, 20));
   const double others = *rc::gen::inRange(85, 115) / 100.0;
   const bool cut = *rc::gen::inRange(0, 2) == 1;
-  SlowStoreRun run(with_service_time(service_time));
+  SlowStoreScenario run(with_service_time(service_time));
   run.run(seconds(5), 0);
   if (cut) {
     run.cut_off("n0");
@@ -209,7 +209,7 @@
   }
   run.run(milliseconds(*rc::gen::inRange(2000, 15000)), others);
   run.run(seconds(10), 0);
-  RC_ASSERT(run.taken_from_sound() == 0U);
+  RC_ASSERT(run.taken_from_connected_nodes() == 0U);
 }
 
 }  // namespace
