--- a/src/jobs/job_knobs.h
+++ b/src/jobs/job_knobs.h
@@ -44,7 +44,7 @@
   // newer one: the job may have been ended or taken over since. The platform limits how long after
   // the acknowledged end of a job an item may still start at a worker, usually to 3 s; the
   // difference covers connecting to a worker and delays on an overloaded machine.
-  Duration longest_view_age = std::chrono::milliseconds(2000);
+  Duration max_view_age = std::chrono::milliseconds(2000);
   // How long the caller that ends a job waits at most for the owner to confirm the notice: a few
   // round trips between nodes, and too short to be noticed.
   Duration owner_notice_timeout = std::chrono::milliseconds(300);
@@ -77,7 +77,7 @@
   // Interval at which one node of the fleet checks the refusal rows of one partition.
   Duration refusal_sweep_interval = std::chrono::minutes(1);
   // How long running items may continue during a planned stop.
-  Duration longest_drain = std::chrono::milliseconds(2600);
+  Duration max_drain_time = std::chrono::milliseconds(2600);
 };
 
 }  // namespace chalkshed
--- a/src/node/serving_node.cc
+++ b/src/node/serving_node.cc
@@ -139,8 +139,8 @@
   worker_table_.set_on_missed([this](StoreVersion version) { worker_handover_.request(version); });
   // Many nodes that start at the same moment would else not hear each other until their
   // announcements have been gathered, for a second and a half.
-  peers_.set_on_unknown_session([this] { node_table_.hurry(); });
-  quota_exchange_.set_on_unknown_session([this] { node_table_.hurry(); });
+  peers_.set_on_unknown_session([this] { node_table_.poll_now(); });
+  quota_exchange_.set_on_unknown_session([this] { node_table_.poll_now(); });
   peers_.set_on_role_changed([this] { pace_watchers(); });
   // Their long questions may have been lost together with the short ones.
   route_table_.set_on_regained([this] { refresh_watchers(worker_table_); });
@@ -215,20 +215,20 @@
   WatchPace configuration = member ? watch.member_configuration : watch.configuration;
   if (knobs_.longest_unconfirmed) {
     // A lost question and its repetition fit into the time for which keys hold unconfirmed.
-    configuration.longest_wait =
-        std::min(configuration.longest_wait, *knobs_.longest_unconfirmed / 2);
+    configuration.max_wait =
+        std::min(configuration.max_wait, *knobs_.longest_unconfirmed / 2);
   }
   route_table_.set_pace(configuration);
   // A member that has just started hears a relay soon. If all nodes start, so do the workers: each
   // of their rows went from the store to each node, 3 GB for 1,000 nodes before 10,000 workers.
   const bool starts =
-      member && dependencies_.time_source.monotonic_now() - started_ < watch.told_workers.gather;
+      member && dependencies_.time_source.monotonic_now() - started_ < watch.told_workers.batch_delay;
   worker_table_.set_pace(peers_.hears_informed_relay() || starts ? watch.told_workers
                          : member                                ? watch.member_workers
                                                                  : watch.workers);
   node_table_.set_pace(peers_.relayed() ? watch.member_jobs : watch.jobs);
   pace_jobs();
-  peers_.set_store_wait(configuration.longest_wait - watch.configuration.longest_wait);
+  peers_.set_store_wait(configuration.max_wait - watch.configuration.max_wait);
 }
 
 void ServingNode::pace_jobs() {
@@ -237,9 +237,9 @@
   if (jobs_.owns_open_jobs()) {
     // A view is as old as its question: at most a pause and two questions that were held, together
     // nine tenths of the age at which an owner starts nothing; the rest is for the answer to come.
-    const Duration part = knobs_.jobs.longest_view_age * 3 / 10;
-    pace.longest_wait = std::min(pace.longest_wait, part);
-    pace.gather = std::min(pace.gather, part);
+    const Duration part = knobs_.jobs.max_view_age * 3 / 10;
+    pace.max_wait = std::min(pace.max_wait, part);
+    pace.batch_delay = std::min(pace.batch_delay, part);
   }
   job_table_.set_pace(pace);
 }
@@ -259,7 +259,7 @@
 
 void ServingNode::start() {
   started_ = dependencies_.time_source.monotonic_now();
-  call_after(dependencies_.dispatcher, knobs_.watch.told_workers.gather,
+  call_after(dependencies_.dispatcher, knobs_.watch.told_workers.batch_delay,
              lifetime_.guard([this] { pace_watchers(); }));
   route_table_.start();
   workers_copy_.start();
--- a/src/watch/table_watcher.cc
+++ b/src/watch/table_watcher.cc
@@ -127,7 +127,7 @@
   following_ = true;
   batching_ = false;
   follow_asked_ = time_source_.monotonic_now();
-  const Duration wait = pace_.from_peers ? Duration(0) : pace_.longest_wait;
+  const Duration wait = pace_.from_peers ? Duration(0) : pace_.max_wait;
   store_.read_changes(table_, followed_, wait,
                       lifetime_.guard([this, call](const Expected<TableChanges>& changes) {
                         if (call == follow_calls_) {
@@ -137,16 +137,16 @@
 }
 
 void TableWatcher::follow_later(bool changed) {
-  if (pace_.gather <= Duration(0) || (!changed && !pace_.from_peers)) {
+  if (pace_.batch_delay <= Duration(0) || (!changed && !pace_.from_peers)) {
     follow();
     return;
   }
   batching_ = true;
   retry_action_ = [this] { follow(); };
-  retry_timer_->enable(pace_.gather);
+  retry_timer_->enable(pace_.batch_delay);
 }
 
-void TableWatcher::hurry() {
+void TableWatcher::poll_now() {
   // Minimum interval between two requests; the store answers within about 10 ms.
   constexpr Duration kMinBatchDelay = std::chrono::milliseconds(100);
   if (batching_ && time_source_.monotonic_now() - last_heard_ >= kMinBatchDelay) {
--- a/src/watch/table_watcher.h
+++ b/src/watch/table_watcher.h
@@ -64,10 +64,10 @@
 struct WatchPace {
   // How long the store may delay the answer when nothing changes (long polling). Limits how long a
   // lost connection goes undetected without other indications.
-  Duration longest_wait = std::chrono::milliseconds(1500);
+  Duration max_wait = std::chrono::milliseconds(1500);
   // After changes have arrived, the next ones are requested this much later, so that they arrive
   // together: every change goes to every node, and would otherwise cost a call per node.
-  Duration gather{0};
+  Duration batch_delay{0};
   // Peers report changes and send their rows. The store is only asked once per such interval for
   // further changes, and usually returns no row.
   bool from_peers = false;
@@ -106,7 +106,7 @@
   void refresh();
   void set_pace(const WatchPace& pace);
   // Requests the next changes without further delay, because a change is needed now.
-  void hurry();
+  void poll_now();
   // Another node has a row of the table with this version. If the row does not arrive here too, the
   // pending answer is considered lost and the changes are requested again.
   void note_newer(StoreVersion version);
--- a/tests/watch/table_watcher_test.cc
+++ b/tests/watch/table_watcher_test.cc
@@ -79,7 +79,7 @@
 
 TEST_F(TableWatcherTest, ChangesThatComeCloseTogetherCostOneCall) {
   TableWatcherKnobs knobs;
-  knobs.pace.gather = milliseconds(150);
+  knobs.pace.batch_delay = milliseconds(150);
   TableWatcher batching{clock, dispatcher, store, logger, "t", {""}, observer, knobs};
   batching.start();
   clock.run_for(milliseconds(50));
@@ -95,7 +95,7 @@
 
 TEST_F(TableWatcherTest, ALostAnswerIsRequestedAgain) {
   TableWatcherKnobs knobs;
-  knobs.pace.longest_wait = seconds(60);
+  knobs.pace.max_wait = seconds(60);
   TableWatcher patient{clock, dispatcher, store, logger, "t", {""}, observer, knobs};
   patient.start();
   clock.run_for(milliseconds(50));
@@ -113,7 +113,7 @@
 // Other nodes have a row that has not arrived here, because the answer that contained it was lost.
 TEST_F(TableWatcherTest, AChangeKnownToOtherNodesIsRequestedAgain) {
   TableWatcherKnobs knobs;
-  knobs.pace.longest_wait = seconds(60);
+  knobs.pace.max_wait = seconds(60);
   TableWatcher patient{clock, dispatcher, store, logger, "t", {""}, observer, knobs};
   patient.start();
   clock.run_for(milliseconds(50));
@@ -210,7 +210,7 @@
 }
 
 TEST_F(TableWatcherTest, ABatchingWatcherCanBeHurried) {
-  watcher.set_pace({.longest_wait = seconds(10), .gather = milliseconds(1500)});
+  watcher.set_pace({.max_wait = seconds(10), .batch_delay = milliseconds(1500)});
   watcher.start();
   clock.run_for(milliseconds(50));
   put("a", "1");
@@ -218,12 +218,12 @@
   put("b", "1");
   clock.run_for(milliseconds(200));
   EXPECT_FALSE(observer.values.contains("b"));
-  watcher.hurry();
+  watcher.poll_now();
   clock.run_for(milliseconds(20));
   EXPECT_TRUE(observer.values.contains("b"));
   const uint64_t calls = shared.calls;
   for (int count = 0; count < 10; ++count) {
-    watcher.hurry();
+    watcher.poll_now();
   }
   clock.run_for(milliseconds(50));
   EXPECT_EQ(shared.calls, calls) << "no request without a pending batch";
--- a/tests/watch/view_age_test.cc
+++ b/tests/watch/view_age_test.cc
@@ -97,7 +97,7 @@
 // The pace of an owner: three tenths of the allowed age for the delay between requests, and for
 // each delayed answer.
 TEST_F(ViewAgeTest, ThePaceOfAnOwnerKeepsItsViewWithinTwoSeconds) {
-  watcher.set_pace({.longest_wait = milliseconds(600), .gather = milliseconds(600)});
+  watcher.set_pace({.max_wait = milliseconds(600), .batch_delay = milliseconds(600)});
   watcher.start();
   clock.run_for(milliseconds(500));
   StoreTransaction transaction;
