--- a/src/platform/machine_list.h
+++ b/src/platform/machine_list.h
@@ -1,4 +1,4 @@
-// The platform's list of live and leaving machines. It lags, so nobody believes it alone.
+// The platform's list of live and leaving machines. It lags and must not be relied on alone.
 #pragma once
 
 #include <cstdint>
@@ -27,12 +27,12 @@
   Address peer_address;  // nodes only: UDP membership address
   std::string zone;
   std::string region;
-  uint64_t incarnation = 0;  // raised each time the process starts anew
+  uint64_t incarnation = 0;  // incremented at each start of the process
 };
 
 struct MachineListSnapshot {
   std::vector<Machine> machines;
-  // Two snapshots of one list with the same revision are equal; 0: not known.
+  // Two snapshots of one list with the same revision are equal; 0: unknown.
   uint64_t revision = 0;
 };
 
--- a/src/platform/table_store.h
+++ b/src/platform/table_store.h
@@ -1,5 +1,5 @@
-// The platform's transactional table service, as chalkshed uses it. Adapters implement it over the
-// real service; emulator/ and sim/ implement it in memory.
+// Interface to the platform's transactional table service. Adapters implement it on top of the real
+// service; emulator/ and sim/ implement it in memory.
 #pragma once
 
 #include <compare>
@@ -19,7 +19,7 @@
   auto operator<=>(const RowKey&) const = default;
 };
 
-// Version 0 stands for "no such row"; each committed write of a row raises its version.
+// Version 0 means "no such row"; each committed write of a row increments its version.
 using RowVersion = uint64_t;
 
 struct Row {
@@ -40,7 +40,7 @@
   std::optional<std::string> value;
 };
 
-// All writes are applied at once if and only if all conditions hold.
+// All writes are applied atomically if and only if all conditions hold.
 struct Transaction {
   std::vector<RowCondition> conditions;
   std::vector<RowWrite> writes;
@@ -56,8 +56,8 @@
 
 struct ScanRequest {
   std::string table;
-  std::string prefix;     // only keys that start with it
-  std::string after_key;  // exclusive; empty to begin at the first
+  std::string prefix;     // only keys with this prefix
+  std::string after_key;  // exclusive; empty: from the first key
   uint32_t limit = 100;
 };
 
@@ -73,7 +73,7 @@
   virtual void read(RowKey key, Callback<std::optional<Row>> callback) = 0;
   virtual void scan(ScanRequest request, Callback<ScanPage> callback) = 0;
   // Errors: kStoreUnavailable with Ran::kNo when the transaction was certainly not applied (with
-  // retry_after when rate-limited); kOutcomeUnknown when the answer was lost: read back to learn.
+  // retry_after when rate-limited); kOutcomeUnknown when the answer was lost: read the rows again.
   virtual void commit(Transaction transaction, Callback<CommitResult> callback) = 0;
 };
 
--- a/src/platform/watched_store.h
+++ b/src/platform/watched_store.h
@@ -1,6 +1,6 @@
-// The platform's transactional row store, as the serving path uses it: tables are split into
-// partitions, every transaction draws one version from a single rising counter, and a table's
-// changes can be followed. Adapters implement it over the real service; emulator/ in memory.
+// Interface to the platform's transactional row store for the serving path: tables have partitions,
+// every transaction gets one version from a single increasing counter, and clients can follow the
+// changes of a table. Adapters implement it on top of the real service; emulator/ in memory.
 #pragma once
 
 #include <compare>
@@ -13,7 +13,7 @@
 
 namespace chalkshed {
 
-// Version of a row or of the whole store. 0 stands for "no such row".
+// Version of a row or of the whole store. 0 means "no such row".
 using StoreVersion = uint64_t;
 
 struct StoredRowKey {
@@ -28,10 +28,10 @@
   StoredRowKey key;
   std::string value;
   StoreVersion version = 0;
-  bool removed = false;  // a change only: the row is gone
+  bool removed = false;  // only in changes: the row was removed
 };
 
-// Keys in [first_key, end_key); an empty end_key means to the last key.
+// Keys in [first_key, end_key); an empty end_key means no upper bound.
 struct RangeRead {
   std::string table;
   std::string partition;
@@ -40,20 +40,20 @@
   uint32_t limit = 500;
 };
 
-// What every answer of the store tells beside its rows.
+// Metadata of every answer of the store.
 struct StoreStamp {
   StoreVersion version = 0;  // newest version of the whole store
   Duration steady_clock{0};  // the store's own clock, which never jumps
 };
 
 struct RangePage {
-  std::vector<StoredRow> rows;  // as of one moment, in ascending order of keys
+  std::vector<StoredRow> rows;  // a consistent snapshot, in ascending order of keys
   bool more = false;
   StoreStamp stamp;
 };
 
 struct TableChanges {
-  std::vector<StoredRow> rows;  // in order of their versions
+  std::vector<StoredRow> rows;  // ordered by version
   StoreStamp stamp;             // continue from stamp.version
 };
 
@@ -69,12 +69,12 @@
   std::optional<std::string> value;
 };
 
-// What one transaction may hold: conditions and writes together, and bytes of the written values.
-// More is refused as a whole. The bytes leave room for their encoding on the wire.
+// Limits of one transaction: number of conditions and writes, and total size of the written values.
+// Larger ones are rejected. The size limit leaves room for the encoding on the wire.
 inline constexpr size_t kMostTransactionEntries = 100;
 inline constexpr size_t kMostTransactionBytes = 700 * 1024;
 
-// Applied as a whole if and only if all conditions hold. All keys share one partition.
+// Applied atomically if and only if all conditions hold. All keys are in one partition.
 struct StoreTransaction {
   std::vector<StoreCondition> conditions;
   std::vector<StoreWrite> writes;
@@ -82,9 +82,9 @@
 
 struct StoreCommit {
   bool committed = false;
-  // Not committed: the rows of the conditions as they stand; those absent have version 0.
+  // Not committed: the current rows of the conditions; absent rows have version 0.
   std::vector<StoredRow> current;
-  StoreStamp stamp;  // committed: its version is that of all written rows
+  StoreStamp stamp;  // committed: contains the version of all written rows
 };
 
 class WatchedStore {
@@ -92,12 +92,12 @@
   virtual ~WatchedStore() = default;
   // Errors: kStoreUnavailable, with retry_after when rate-limited.
   virtual void read_range(RangeRead range, Callback<RangePage> callback) = 0;
-  // Answers as soon as the table has changed behind `since`, or with no rows after `wait`.
-  // Errors: kStoreUnavailable; kNotFound when the history behind `since` is gone.
+  // Answers as soon as the table has changes after `since`, or without rows after `wait`.
+  // Errors: kStoreUnavailable; kNotFound when the history after `since` is gone.
   virtual void read_changes(std::string table, StoreVersion since, Duration wait,
                             Callback<TableChanges> callback) = 0;
-  // Errors: kStoreUnavailable with Ran::kNo when nothing was done; kOutcomeUnknown when the answer
-  // was lost. Such a transaction may still be applied later while its conditions hold.
+  // Errors: kStoreUnavailable with Ran::kNo when it was not applied; kOutcomeUnknown when the
+  // answer was lost. Such a transaction may still be applied later while its conditions hold.
   virtual void commit(StoreTransaction transaction, Callback<StoreCommit> callback) = 0;
 };
 
