--- a/tests/platform/ingress_test.cc
+++ b/tests/platform/ingress_test.cc
@@ -1,5 +1,5 @@
-// The whole adapter over loopback sockets: a node of the platform, its store and a worker, spoken
-// to as callers do.
+// The complete adapter over loopback sockets: a node of the platform, its store and a worker,
+// called through the callers' interface.
 #include "platform/ingress.h"
 
 #include <gtest/gtest.h>
@@ -20,10 +20,9 @@
 namespace {
 
 // A worker that echoes bodies on plain paths and streams three events on others.
-class WorkerStandIn : public HttpHandler {
+class FakeWorker : public HttpHandler {
  public:
-  explicit WorkerStandIn(EventDispatcher& dispatcher)
-      : server(dispatcher, {"127.0.0.1", 0}, *this) {}
+  explicit FakeWorker(EventDispatcher& dispatcher) : server(dispatcher, {"127.0.0.1", 0}, *this) {}
   void handle(HttpRequest request, ResponseWriterPtr writer) override {
     requests.push_back(request);
     const std::string id(find_header(request.headers, kRequestId).value_or(""));
@@ -67,7 +66,7 @@
                              {"state", "ready"}}
                   .dump());
   }
-  // @param tenants null: the configuration names none.
+  // @param tenants null: the configuration has no tenants.
   void put_configuration(uint64_t version, const std::string& plain_prefix,
                          const nlohmann::json& tenants = nullptr) {
     const nlohmann::json base = {{"host", "a.example"},
@@ -110,7 +109,7 @@
     options.host = "a.example";
     std::optional<Expected<HttpResponse>> answer;
     caller.fetch(front.local(), request, options,
-                 [&](const Expected<HttpResponse>& told) { answer = told; });
+                 [&](const Expected<HttpResponse>& result) { answer = result; });
     EXPECT_TRUE(run_until(dispatcher, [&] { return answer.has_value(); }));
     return answer && *answer ? **answer : HttpResponse{0, {}, ""};
   }
@@ -129,7 +128,7 @@
   NullLogger logger;
   NullMetricsRegistry metrics;
   StoreStandIn store{dispatcher};
-  WorkerStandIn worker{dispatcher};
+  FakeWorker worker{dispatcher};
   EventHttpClient store_client{dispatcher};
   EventHttpClient worker_client{dispatcher};
   EventHttpClient caller{dispatcher};
@@ -152,7 +151,7 @@
   HttpServer front{dispatcher, {"127.0.0.1", 0}, ingress};
 };
 
-TEST_F(IngressTest, ARequestReachesTheWorkerUnchangedAndItsAnswerComesBack) {
+TEST_F(IngressTest, ARequestReachesTheWorkerUnchangedAndItsAnswerIsReturned) {
   const std::string body("bytes \0 of any kind", 19);
   const HttpResponse answer = call("POST", "/plain/x", body, "r7", "q=1&r=%20");
   EXPECT_EQ(answer.status, 200);
@@ -168,13 +167,13 @@
   EXPECT_TRUE(find_header(seen.headers, kDeadline));
 }
 
-TEST_F(IngressTest, AStreamComesBackWhole) {
+TEST_F(IngressTest, AStreamIsReturnedCompletely) {
   const HttpResponse answer = call("POST", "/stream/x");
   EXPECT_EQ(answer.status, 200);
   EXPECT_EQ(answer.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
 }
 
-TEST_F(IngressTest, AnAddressThatAnotherWorkerHasNowRunsNothing) {
+TEST_F(IngressTest, ARequestToAnAddressOfAnotherWorkerIsNotRun) {
   worker.incarnation = "i-2";
   const HttpResponse answer = call("POST", "/plain/x");
   EXPECT_EQ(answer.status, 503);
@@ -184,7 +183,7 @@
   EXPECT_EQ(call("POST", "/plain/x").status, 200);
 }
 
-TEST_F(IngressTest, ANewConfigurationIsInForceWithoutPolling) {
+TEST_F(IngressTest, ANewConfigurationTakesEffectWithoutPolling) {
   EXPECT_EQ(call("POST", "/moved/x").status, 404);
   put_configuration(2, "/plain/moved/");
   ASSERT_TRUE(run_until(dispatcher, [&] { return node.routes()->version() == 2; }));
@@ -192,7 +191,7 @@
   EXPECT_EQ(call("POST", "/plain/x").status, 404);
 }
 
-TEST_F(IngressTest, ABrokenConfigurationLeavesTheLastOneInForce) {
+TEST_F(IngressTest, AMalformedConfigurationLeavesTheLastOneActive) {
   store.put(kOperatorTable, kConfigurationKey, "{broken");
   put_worker("i-9");
   ASSERT_TRUE(run_until(dispatcher, [&] { return node.workers().find("i-9") != nullptr; }));
@@ -218,7 +217,7 @@
   EXPECT_EQ(call("POST", "/batch/j", "{broken", "j2").status, 400);
 }
 
-TEST_F(IngressTest, WithoutTheStoreOnlineWorkGoesOnAndJobsAreRefusedTruthfully) {
+TEST_F(IngressTest, WithoutTheStoreOnlineRequestsAreServedAndJobsAreReportedAsNotRun) {
   store.status = 503;
   EXPECT_EQ(call("POST", "/plain/x").status, 200);
   EXPECT_EQ(call("GET", "/lots/j1").status, 503);
@@ -249,14 +248,14 @@
             1);
 }
 
-TEST_F(IngressTest, WithoutTenantsHeadersGoOnAsTheyCame) {
+TEST_F(IngressTest, WithoutTenantsHeadersAreForwardedUnchanged) {
   key = "k1";
   EXPECT_EQ(call("POST", "/plain/x").status, 200);
   ASSERT_EQ(worker.requests.size(), 1U);
   EXPECT_EQ(find_header(worker.requests[0].headers, kAuthorization), "Bearer k1");
 }
 
-TEST_F(IngressTest, AKeyThatIsTakenAwayOrMovesToAnotherTenantCountsAtOnce) {
+TEST_F(IngressTest, ARevokedOrMovedKeyTakesEffectAtOnce) {
   put_tenants(2,
               {{{"name", "ann"}, {"api_keys", {"k1"}}}, {{"name", "ben"}, {"api_keys", {"k2"}}}});
   key = "k1";
@@ -268,7 +267,7 @@
   EXPECT_EQ(call("POST", "/plain/x").status, 401);
 }
 
-TEST_F(IngressTest, AJobBelongsToItsTenantAndExistsForNobodyElse) {
+TEST_F(IngressTest, AJobIsVisibleToItsTenantOnly) {
   put_tenants(
       2, {{{"name", "ann"}, {"api_keys", {"k1", "k2"}}}, {{"name", "ben"}, {"api_keys", {"k3"}}}});
   EXPECT_EQ(call("POST", "/batch/j", small_job, "j1").status, 401);
@@ -302,7 +301,7 @@
   EXPECT_EQ(find_header(worker.requests[1].headers, kTenant), "ben");
 }
 
-TEST_F(IngressTest, TakingAKeyAwayEndsNoJob) {
+TEST_F(IngressTest, RevokingAKeyEndsNoJob) {
   put_tenants(2, {{{"name", "ann"}, {"api_keys", {"k1"}}}});
   key = "k1";
   EXPECT_EQ(call("POST", "/batch/j", small_job, "j1").status, 202);
--- a/tests/platform/job_wire_test.cc
+++ b/tests/platform/job_wire_test.cc
@@ -38,7 +38,7 @@
   EXPECT_EQ(find_header(item.message.headers, kRequestId), "i1");
 }
 
-TEST(JobWireTest, BadJobsGetAnErrorThatNamesWhatIsWrong) {
+TEST(JobWireTest, MalformedJobsAreRejectedWithTheReason) {
   const auto message = [](const std::string& content) {
     const auto items = JobWire().decode_items("a.example", content);
     EXPECT_FALSE(items) << content;
@@ -57,7 +57,7 @@
   EXPECT_TRUE(JobWire().decode_items("a.example", job_of(200)));
 }
 
-TEST(JobWireTest, AJobIsHandedOnWithTheBytesItCameWith) {
+TEST(JobWireTest, AJobIsForwardedWithItsOriginalBytes) {
   RequestJob job;
   job.id = "j1";
   job.path = "/batch/j";
@@ -71,7 +71,7 @@
   EXPECT_EQ(find_header(call.headers, kForwarded), "17");
 }
 
-TEST(JobWireTest, ResultsTellTotalNextAndTexts) {
+TEST(JobWireTest, ResultsContainTotalNextAndTexts) {
   ResultPage page;
   page.total = 40;
   page.next = 13;
--- a/tests/platform/platform_settings_test.cc
+++ b/tests/platform/platform_settings_test.cc
@@ -9,7 +9,7 @@
     "node=n1\nzone=z\nip=10.0.0.1\nlisten.front=10.0.0.1:80\nlisten.readiness=10.0.0.1:81\n"
     "port_range=7660,7675\nprovider.address=10.9.0.1:8142\nbounds.grace_s=6.5\nnew.field=1\n";
 
-TEST(PlatformSettingsTest, ReadsWhatItKnowsAndIgnoresTheRest) {
+TEST(PlatformSettingsTest, ReadsKnownFieldsAndIgnoresOthers) {
   const Expected<PlatformSettings> settings = parse_settings(kSettings);
   ASSERT_TRUE(settings);
   EXPECT_EQ(settings->node, "n1");
--- a/tests/platform/record_codec_test.cc
+++ b/tests/platform/record_codec_test.cc
@@ -20,7 +20,7 @@
                {"name": "t", "max_conns": 110}],
   "limits": {"max_header_bytes": 100, "max_body_bytes": 200, "idle_timeout_ms": 15000}})";
 
-// The configuration with one batch route whose queue limit is that text.
+// A configuration with one batch route and the given text as its queue limit.
 std::string with_queue_limit(const std::string& limit) {
   return R"({"version": 7, "services": [], "routes": [{"name": "r", "host": "a.example",
       "path_prefix": "/z/", "kind": "batch", "service": "s", "max_queued_tokens": )" +
@@ -40,7 +40,7 @@
   EXPECT_EQ(limit_of("1e300"), UINT64_MAX);
 }
 
-TEST(DecodeRoutesTest, AQueueLimitThatMeansNothingIsRejectedWithItsReason) {
+TEST(DecodeRoutesTest, AnInvalidQueueLimitIsRejectedWithTheReason) {
   for (const char* limit : {"-1", "0.5", "\"many\"", "[]", "true"}) {
     const Expected<RouteTable> table = decode_routes(with_queue_limit(limit));
     ASSERT_FALSE(table) << limit;
@@ -81,7 +81,7 @@
   EXPECT_EQ(table->find("h", "/")->kind, RouteKind::kOnce);
 }
 
-TEST(DecodeRoutesTest, WhatCannotBeReadIsAnErrorThatSaysWhy) {
+TEST(DecodeRoutesTest, MalformedConfigurationsAreRejectedWithTheReason) {
   for (const char* broken :
        {"", "{", "[]", R"({"version": 1})", R"({"version": "x", "routes": [], "services": []})",
         R"({"version": 1, "routes": [{"name": "r"}], "services": []})"}) {
@@ -120,7 +120,7 @@
       {"seq", 4}};
 }
 
-TEST(DecodeWorkerTest, TellsTheStartsOfAWorkerApart) {
+TEST(DecodeWorkerTest, DistinguishesTheStartsOfAWorker) {
   nlohmann::json entry = worker_entry();
   const Expected<WorkerRecord> first = decode_worker("i-1", entry.dump());
   entry["born"] = 1764630005000;
@@ -133,7 +133,7 @@
   EXPECT_TRUE(decode_worker("i-1", entry.dump()));
 }
 
-// Each entry of another writer names no worker to use.
+// Entries that were not written by a worker must be rejected.
 TEST(DecodeWorkerTest, AnEntryWithMissingFieldsIsRejected) {
   for (const char* field : {"service", "address", "zone", "slots", "state"}) {
     nlohmann::json entry = worker_entry();
@@ -161,7 +161,7 @@
   }
 }
 
-TEST(DecodeWorkerTest, AnEntryOfAnUnknownStateOrWithImpossiblePlacesIsRejected) {
+TEST(DecodeWorkerTest, AnEntryWithAnUnknownStateOrInvalidSlotsIsRejected) {
   nlohmann::json entry = worker_entry();
   for (const char* state : {"", "READY", "ready ", "gone", "starting"}) {
     entry["state"] = state;
@@ -175,15 +175,15 @@
   }
 }
 
-TEST(DecodeWorkerTest, BytesThatAreNoEntryAreRejectedInAFewWords) {
+TEST(DecodeWorkerTest, MalformedEntriesAreRejectedWithAShortMessage) {
   const std::string deep = std::string(20000, '[') + std::string(20000, ']');
   for (const std::string& bytes :
        {std::string("\xff\xfe\x00", 3), deep, std::string(60000, 'x'), std::string("[]"),
         std::string("7"), std::string("null"), "{\"service\": \"" + std::string(60000, '\xc3')}) {
     const Expected<WorkerRecord> record = decode_worker("i-1", bytes);
     ASSERT_FALSE(record);
-    constexpr size_t kMostWords = 400;
-    EXPECT_LE(record.error().message.size(), kMostWords);
+    constexpr size_t kMaxMessageBytes = 400;
+    EXPECT_LE(record.error().message.size(), kMaxMessageBytes);
   }
 }
 
--- a/tests/platform/store_client_test.cc
+++ b/tests/platform/store_client_test.cc
@@ -58,12 +58,12 @@
   EXPECT_EQ(second->current[0].value, bytes);
 }
 
-// The rows of others hold whatever one row is.
-TEST_F(StoreClientTest, ARowThatCannotBeReadHidesNoOther) {
+// A malformed value must not affect the other rows of an answer.
+TEST_F(StoreClientTest, AMalformedRowHidesNoOther) {
   ASSERT_TRUE(put("a", "first", 0));
   ASSERT_TRUE(put("b", "second", 0));
   for (const char* value : {"\"%%% no base64\"", "7", "null", "{\"x\":[1]}"}) {
-    store.spoils = {{"\"" + encode_base64("first") + "\"", value}};
+    store.answer_replacements = {{"\"" + encode_base64("first") + "\"", value}};
     const Expected<RangePage> page = read();
     ASSERT_TRUE(page) << value;
     ASSERT_EQ(page->rows.size(), 2U);
@@ -77,7 +77,7 @@
   ASSERT_TRUE(put("b", "second", 0));
   for (const char* key :
        {"\xff\xfe", "\xc3(", "\xed\xa0\x80", "\xf8\x88\x80\x80\x80", "\xe2\x82"}) {
-    store.spoils = {{"a-key", key}};
+    store.answer_replacements = {{"a-key", key}};
     const Expected<RangePage> page = read();
     ASSERT_TRUE(page);
     ASSERT_EQ(page->rows.size(), 2U);
@@ -85,7 +85,7 @@
   }
 }
 
-TEST_F(StoreClientTest, PagesTellThatThereIsMore) {
+TEST_F(StoreClientTest, PagesReportThatThereAreMoreRows) {
   put("a", "1", 0);
   put("b", "1", 0);
   const Expected<RangePage> page = read(1);
@@ -94,11 +94,11 @@
   EXPECT_EQ(page->rows.size(), 1U);
 }
 
-TEST_F(StoreClientTest, ChangesComeAsTheyAreMadeAndALostHistoryIsTold) {
+TEST_F(StoreClientTest, ChangesArriveImmediatelyAndALostHistoryIsReported) {
   put("a", "1", 0);
   std::optional<Expected<TableChanges>> changes;
   client.read_changes("t", 1, std::chrono::seconds(5),
-                      [&](const Expected<TableChanges>& told) { changes = told; });
+                      [&](const Expected<TableChanges>& result) { changes = result; });
   put("b", "2", 0);
   ASSERT_TRUE(run_until(dispatcher, [&] { return changes.has_value(); }));
   ASSERT_TRUE(*changes);
@@ -112,7 +112,7 @@
   EXPECT_EQ(lost.error().kind, ErrorKind::kNotFound);
 }
 
-TEST_F(StoreClientTest, ARefusedCallDidNothingAndSaysSo) {
+TEST_F(StoreClientTest, ARefusedCallIsReportedAsNotRun) {
   for (const int status : {429, 503}) {
     store.status = status;
     const Expected<StoreCommit> commit = put("a", "1", 0);
@@ -131,9 +131,9 @@
   EXPECT_EQ(commit.error().ran, Ran::kUnknown);
 }
 
-TEST_F(StoreClientTest, AnAnswerThatIsCutShortIsAnErrorNotAnEmptyTable) {
+TEST_F(StoreClientTest, ATruncatedAnswerIsAnErrorNotAnEmptyTable) {
   put("a", "1", 0);
-  store.cut_short = true;
+  store.truncate_answers = true;
   EXPECT_FALSE(read());
   const Expected<StoreCommit> commit = put("b", "1", 0);
   ASSERT_FALSE(commit);
--- a/tests/platform/store_stand_in.h
+++ b/tests/platform/store_stand_in.h
@@ -1,5 +1,6 @@
-// The platform's store over HTTP, in memory, for tests of the adapter: speaks what its interface
-// page says, and can refuse, throttle, cut its answers short, forget its history and drop answers.
+// An in-memory fake of the platform's store over HTTP, for tests of the adapter. It implements the
+// documented interface and can refuse calls, throttle, truncate or drop answers and lose its
+// history.
 #pragma once
 
 #include <list>
@@ -35,7 +36,7 @@
       handle_object(request, *writer);
     }
   }
-  // Writes a row as the operator and the workers do.
+  // Writes a row as operators and workers do.
   void put(const std::string& table, const std::string& key, const std::string& value) {
     StoreTransaction transaction;
     transaction.writes.push_back({{table, "", key}, value});
@@ -45,11 +46,11 @@
 
   VersionedRows rows;
   std::map<std::string, std::string> objects;
-  std::map<std::string, int> calls;           // by path
-  int status = 0;                             // answers everything with it, unless 0
-  bool lose_commits = false;                  // applies them and closes the connection
-  std::map<std::string, std::string> spoils;  // parts of answers that are replaced by others
-  bool cut_short = false;                     // answers with half of the bytes, but well framed
+  std::map<std::string, int> calls;  // by path
+  int status = 0;                    // status of all answers, unless 0
+  bool lose_commits = false;         // applies commits but closes the connection
+  std::map<std::string, std::string> answer_replacements;  // replacements in the text of answers
+  bool truncate_answers = false;  // truncates answers to half, with matching framing
 
  private:
   struct Follower {
@@ -98,15 +99,15 @@
                          clock_.monotonic_now().time_since_epoch())
                          .count();
     std::string text = body.dump();
-    for (const auto& [sound, spoilt] : spoils) {
-      const size_t at = text.find(sound);
+    for (const auto& [original, replacement] : answer_replacements) {
+      const size_t at = text.find(original);
       if (at != std::string::npos) {
-        text.replace(at, sound.size(), spoilt);
+        text.replace(at, original.size(), replacement);
       }
     }
     writer.respond({code,
                     {{"Content-Type", "application/json"}},
-                    cut_short ? text.substr(0, text.size() / 2) : text});
+                    truncate_answers ? text.substr(0, text.size() / 2) : text});
   }
   static nlohmann::json encode_all(const std::vector<StoredRow>& all) {
     nlohmann::json encoded = nlohmann::json::array();
