--- a/src/jobs/job_queues.cc
+++ b/src/jobs/job_queues.cc
@@ -20,7 +20,7 @@
     const Route* route = limited_route_of(owned.job->record());
     if (route != nullptr && !owned.job->finished()) {
       own.push_back({content_hash(id), route_queue_id(*route, owned.job->record().tenant),
-                     owned.job->tokens_left()});
+                     owned.job->remaining_tokens()});
       queued_.note(own.back(), now());
     }
   }
@@ -31,7 +31,7 @@
 
 void job_queues::close(const std::string& job) { queued_.close(content_hash(job), now()); }
 
-bool job_queues::counts(const std::string& job) const {
+bool job_queues::is_counted(const std::string& job) const {
   return index_.contains(job) || queued_.reported(content_hash(job), now());
 }
 
@@ -50,26 +50,26 @@
       continue;
     }
     const auto owned = owned_.find(id);
-    sum += owned == owned_.end() ? queued_.left_of(hash, record.tokens)
-                                 : owned->second.job->tokens_left();
+    sum += owned == owned_.end() ? queued_.remaining_tokens(hash, record.tokens)
+                                 : owned->second.job->remaining_tokens();
   }
   return sum + queued_.unlisted(
                    queue, [&](uint64_t job) { return listed.contains(job); }, now());
 }
 
-uint64_t job_queues::largest(const Route& route) const {
+uint64_t job_queues::largest_tenant_queue(const Route& route) const {
   std::set<std::string> tenants = {""};
   for (const auto& [id, indexed] : index_) {
     tenants.insert(indexed.record.tenant);
   }
-  uint64_t largest = 0;
+  uint64_t largest_tenant_queue = 0;
   for (const std::string& tenant : tenants) {
-    largest = std::max(largest, queued(route, tenant));
+    largest_tenant_queue = std::max(largest_tenant_queue, queued(route, tenant));
   }
-  return largest;
+  return largest_tenant_queue;
 }
 
-void job_queues::show() {
+void job_queues::update_metrics() {
   const RouteTablePtr& table = environment_.routes.current();
   const bool any_limit =
       table && std::any_of(table->routes().begin(), table->routes().end(),
@@ -84,18 +84,18 @@
   queued_.prune(now(), [&](uint64_t job) { return listed.contains(job); });
   for (const Route& route : table->routes()) {
     if (route.max_queued_tokens > 0) {
-      show(route);
+      update_metrics(route);
     }
   }
 }
 
-void job_queues::show(const Route& route) const {
+void job_queues::update_metrics(const Route& route) const {
   const MetricLabels labels = {{"route", route.name}};
   environment_.serving.metrics
       .gauge("chalkshed_queued_tokens",
              "Tokens of accepted batch items that have not ended, of the tenant with the most.",
              labels)
-      .set(static_cast<double>(largest(route)));
+      .set(static_cast<double>(largest_tenant_queue(route)));
   environment_.serving.metrics
       .gauge("chalkshed_queued_tokens_limit", "The most that may be queued, over all nodes.",
              labels)
