--- a/src/peers/peer_exchange.h
+++ b/src/peers/peer_exchange.h
@@ -262,10 +262,9 @@
   uint64_t sequence_ = 0;
   MonotonicTime last_sent_{};
   MonotonicTime last_sent_far_{};
-  MonotonicTime last_sent_near_{};    // to the whole zone, while loads go by relays
-  std::vector<Address> reported_to_;  // relays that expect the next heartbeat soon
-  uint64_t notable_changes_sent_ =
-      0;  // changes of the worker set that nodes far away have been told
+  MonotonicTime last_sent_near_{};     // to the whole zone, while loads go by relays
+  std::vector<Address> reported_to_;   // relays that expect the next heartbeat soon
+  uint64_t notable_changes_sent_ = 0;  // worker set changes already reported to far peers
   uint64_t outcomes_reported_ = 0;
   MonotonicTime outcomes_sent_{};
   size_t near_peers_ = 0;
