--- a/apps/chalkshed_choice_bench_main.cc
+++ b/apps/chalkshed_choice_bench_main.cc
@@ -55,9 +55,9 @@
     workers.add_peer_load(worker, 1, 0);
     workers.add_peer_load(worker, -1, 0);
   });
-  PlaceRequest wanted;
+  SlotRequest wanted;
   wanted.service = "engines";
-  const double choice = time_calls([&](int /*round*/) { workers.take_place(wanted); });
+  const double choice = time_calls([&](int /*round*/) { workers.acquire_slot(wanted); });
   std::cout << nlohmann::json{{"workers", worker_count},
                               {"load_ns", load / 2},
                               {"choice_ns", choice}}
--- a/src/batch/batch_runner.cc
+++ b/src/batch/batch_runner.cc
@@ -170,7 +170,7 @@
   if (!demand.wants_any()) {
     return std::nullopt;
   }
-  std::vector<std::pair<Rank, const KnownJob*>> ranking;
+  std::vector<std::pair<Rank, const CachedJob*>> ranking;
   for (const auto& [id, job] : board_.jobs()) {
     if (!job.row.cancelled && demand.wants(job.row.job)) {
       const JobRow& row = job.row.job;
@@ -202,7 +202,7 @@
 void BatchRunner::claim(const ClaimCandidate& candidate) {
   board_.set_held(candidate.job, candidate.chunk, true);
   ++claims_in_flight_;
-  const KnownJob* known = board_.find(candidate.job);
+  const CachedJob* known = board_.find(candidate.job);
   const uint32_t items = known == nullptr ? 0 : known->row.job.chunk_items;
   claimed_items_ += items;
   claimer_.claim(candidate,
@@ -223,7 +223,7 @@
     return;
   }
   board_.set_held(candidate.job, candidate.chunk, false);
-  KnownJob* known = board_.find(candidate.job);
+  CachedJob* known = board_.find(candidate.job);
   if (known == nullptr) {
     return;
   }
@@ -240,7 +240,7 @@
     return;
   }
   // Taken by someone unknown; a version of 0 would have it claimed again at once.
-  KnownChunk& chunk = known->chunks[candidate.chunk];
+  CachedChunk& chunk = known->chunks[candidate.chunk];
   chunk.state = ChunkState::kRunning;
   chunk.owner.clear();
   if (++known->conflicts >= knobs_.claim_conflicts_before_scan) {
@@ -251,7 +251,7 @@
 
 void BatchRunner::hold(const ClaimCandidate& candidate, const ChunkClaimResult& result) {
   board_.update_chunk(candidate.job, candidate.chunk, result.row, result.version);
-  const KnownJob* known = board_.find(candidate.job);
+  const CachedJob* known = board_.find(candidate.job);
   if (known == nullptr) {
     return;  // ended meanwhile; the row is no longer of use to anybody
   }
@@ -289,9 +289,9 @@
   }
   chunks_.erase(found);
   metrics_.count_chunk_end(how);
-  KnownJob* known = board_.find(id.job);
+  CachedJob* known = board_.find(id.job);
   if (known != nullptr) {
-    KnownChunk& chunk = known->chunks[id.number];
+    CachedChunk& chunk = known->chunks[id.number];
     chunk.held = false;
     if (how == ChunkEnd::kDone) {
       chunk.state = ChunkState::kDone;
--- a/src/batch/batch_runner.h
+++ b/src/batch/batch_runner.h
@@ -12,7 +12,7 @@
 #include "src/batch/batch_metrics.h"
 #include "src/batch/chunk_claimer.h"
 #include "src/batch/chunk_run.h"
-#include "src/batch/job_board.h"
+#include "src/batch/open_job_cache.h"
 #include "src/batch/session_lease.h"
 #include "src/batch/tenant_shares.h"
 #include "src/batch/work_finder.h"
@@ -66,7 +66,7 @@
   BatchStore& store_;
   BatchMetrics& metrics_;
   const BatchKnobs& knobs_;
-  JobBoard board_;
+  OpenJobCache board_;
   SessionLease lease_;
   WorkFinder finder_;
   ChunkClaimer claimer_;
--- a/src/batch/chunk_claimer.h
+++ b/src/batch/chunk_claimer.h
@@ -4,7 +4,7 @@
 #include <functional>
 
 #include "src/batch/batch_store.h"
-#include "src/batch/job_board.h"
+#include "src/batch/open_job_cache.h"
 #include "src/batch/session_lease.h"
 
 namespace chalkshed {
--- a/src/batch/chunk_run.cc
+++ b/src/batch/chunk_run.cc
@@ -38,7 +38,7 @@
   WorkerId failed_worker;
   MonotonicTime quiet_at{};  // the engine has surely ended the present attempt
   TimerPtr retry_timer;
-  std::unique_ptr<ItemRun> run;
+  std::unique_ptr<ItemAttempt> run;
 };
 
 ChunkRun::ChunkRun(ChunkEnvironment environment, JobRow job, uint32_t number, ChunkRow row,
@@ -167,24 +167,24 @@
   events_.on_item_charge(item.request.prompt_tokens + item.request.max_tokens);
   GenerateRequest request = generate_request(item, index);
   item.quiet_at = last_progress_ + *request.time_limit + environment_.knobs.attempt_margin;
-  item.run = std::make_unique<ItemRun>(environment_.dependencies, std::move(slot),
-                                       std::move(request), item.tokens,
-                                       [this, index](ItemRunEnd how) { on_item_end(index, how); });
+  item.run = std::make_unique<ItemAttempt>(
+      environment_.dependencies, std::move(slot), std::move(request), item.tokens,
+      [this, index](AttemptOutcome how) { on_item_end(index, how); });
 }
 
-void ChunkRun::on_item_end(uint32_t index, ItemRunEnd how) {
+void ChunkRun::on_item_end(uint32_t index, AttemptOutcome how) {
   Item& item = *items_[index];
   --running_;
   if (item.run->progressed()) {
     item.failures = 0;
   }
-  if (how == ItemRunEnd::kRevoked) {
+  if (how == AttemptOutcome::kRevoked) {
     abandon_attempt(item);
     ready_.push_front(index);
     events_.on_ready();
     return;
   }
-  if (how == ItemRunEnd::kFailed) {
+  if (how == AttemptOutcome::kFailed) {
     on_item_failed(index);
     return;
   }
--- a/src/batch/chunk_run.h
+++ b/src/batch/chunk_run.h
@@ -12,7 +12,7 @@
 #include "src/batch/batch_item.h"
 #include "src/batch/batch_store.h"
 #include "src/batch/chunk_commit.h"
-#include "src/batch/item_run.h"
+#include "src/batch/item_attempt.h"
 #include "src/batch/session_lease.h"
 #include "src/configuration/configuration.h"
 #include "src/policy/policy.h"
@@ -94,7 +94,7 @@
   void parse_slice();
   void parse_line(std::string_view line);
   GenerateRequest generate_request(const Item& item, uint32_t index);
-  void on_item_end(uint32_t index, ItemRunEnd how);
+  void on_item_end(uint32_t index, AttemptOutcome how);
   void on_item_failed(uint32_t index);
   void retry_item(uint32_t index, Duration delay);
   void finish_item(uint32_t index, std::string line, bool failed);
--- a/src/batch/item_run.cc
+++ b/src/batch/item_attempt.cc
@@ -1,9 +1,9 @@
-#include "src/batch/item_run.h"
+#include "src/batch/item_attempt.h"
 
 namespace chalkshed {
 
-ItemRun::ItemRun(NodeDependencies& dependencies, BatchSlotPtr slot, GenerateRequest request,
-                 std::vector<std::string>& tokens, Done done)
+ItemAttempt::ItemAttempt(NodeDependencies& dependencies, BatchSlotPtr slot, GenerateRequest request,
+                         std::vector<std::string>& tokens, Done done)
     : dependencies_(dependencies),
       slot_(std::move(slot)),
       worker_(slot_->worker()),
@@ -14,9 +14,9 @@
   stream_ = dependencies_.engine_client.generate(slot_->address(), std::move(request), *this);
 }
 
-ItemRun::~ItemRun() = default;
+ItemAttempt::~ItemAttempt() = default;
 
-void ItemRun::on_chunk(const GenerateChunk& chunk) {
+void ItemAttempt::on_chunk(const GenerateChunk& chunk) {
   slot_->report_load(chunk.load);
   if (chunk.first_index != tokens_.size()) {
     fail(maybe_run(ErrorKind::kUpstreamFailed,
@@ -36,7 +36,7 @@
   }
 }
 
-void ItemRun::on_complete(const GenerateResult& result) {
+void ItemAttempt::on_complete(const GenerateResult& result) {
   slot_->report_load(result.load);
   if (result.completion_tokens != tokens_.size()) {
     const size_t arrived = tokens_.size();
@@ -49,24 +49,24 @@
   }
   result_ = result;
   slot_->report_success();
-  end(ItemRunEnd::kCompleted);
+  end(AttemptOutcome::kCompleted);
 }
 
-void ItemRun::on_error(const Error& error) { fail(error); }
+void ItemAttempt::on_error(const Error& error) { fail(error); }
 
-void ItemRun::fail(Error error) {
+void ItemAttempt::fail(Error error) {
   error_ = std::move(error);
   slot_->report_failure(error_);
-  end(ItemRunEnd::kFailed);
+  end(AttemptOutcome::kFailed);
 }
 
-void ItemRun::on_revoked() {
+void ItemAttempt::on_revoked() {
   stream_.reset();
   // Later, since it gives the slot back, and the slot is the one that is calling us.
-  dependencies_.dispatcher.post(lifetime_.guard([this] { end(ItemRunEnd::kRevoked); }));
+  dependencies_.dispatcher.post(lifetime_.guard([this] { end(AttemptOutcome::kRevoked); }));
 }
 
-void ItemRun::end(ItemRunEnd how) {
+void ItemAttempt::end(AttemptOutcome how) {
   stream_.reset();
   slot_.reset();
   const Done done = std::move(done_);
--- a/src/batch/item_run.h
+++ b/src/batch/item_attempt.h
@@ -12,7 +12,7 @@
 namespace chalkshed {
 
 // How an attempt ended.
-enum class ItemRunEnd {
+enum class AttemptOutcome {
   kCompleted,  // result() and all tokens are there
   kRevoked,    // the worker's batch window shut; to be resumed
   kFailed,     // see error(); tokens received so far are good for a resumption
@@ -20,15 +20,15 @@
 
 // Streams an item's tokens from an engine. Destroying it cancels the attempt on the engine and
 // gives the slot back.
-class ItemRun : public GenerateCallbacks {
+class ItemAttempt : public GenerateCallbacks {
  public:
-  using Done = std::function<void(ItemRunEnd)>;
+  using Done = std::function<void(AttemptOutcome)>;
 
   // @param tokens those of earlier attempts; new ones are appended. Must outlive the run.
   // @param done called once; the run may be destroyed in it.
-  ItemRun(NodeDependencies& dependencies, BatchSlotPtr slot, GenerateRequest request,
-          std::vector<std::string>& tokens, Done done);
-  ~ItemRun() override;
+  ItemAttempt(NodeDependencies& dependencies, BatchSlotPtr slot, GenerateRequest request,
+              std::vector<std::string>& tokens, Done done);
+  ~ItemAttempt() override;
 
   void on_chunk(const GenerateChunk& chunk) override;
   void on_complete(const GenerateResult& result) override;
@@ -42,7 +42,7 @@
  private:
   void on_revoked();
   void fail(Error error);
-  void end(ItemRunEnd how);
+  void end(AttemptOutcome how);
 
   NodeDependencies& dependencies_;
   BatchSlotPtr slot_;
--- a/src/batch/job_finisher.cc
+++ b/src/batch/job_finisher.cc
@@ -5,7 +5,7 @@
 namespace chalkshed {
 
 std::optional<JobEndRow> JobFinisher::end_of(const OpenJobRow& job, const std::vector<Row>& chunks,
-                                             const JobBoard::Owns& dead) const {
+                                             const OpenJobCache::Owns& dead) const {
   if (!job.cancelled && chunks.size() < job.job.chunks) {
     return std::nullopt;  // some chunk was never claimed
   }
--- a/src/batch/job_finisher.h
+++ b/src/batch/job_finisher.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "src/batch/batch_store.h"
-#include "src/batch/job_board.h"
+#include "src/batch/open_job_cache.h"
 
 namespace chalkshed {
 
@@ -19,7 +19,7 @@
   // known to be cancelled, if it is.
   // @param dead whether a session's lease has surely run out.
   std::optional<JobEndRow> end_of(const OpenJobRow& job, const std::vector<Row>& chunks,
-                                  const JobBoard::Owns& dead) const;
+                                  const OpenJobCache::Owns& dead) const;
   // Writes the end row and takes the job off the work list, in one transaction.
   // @param done called with whether the job has ended (by this or another node).
   void end_job(const OpenJobRow& job, const JobEndRow& end, std::function<void(bool)> done);
--- a/src/batch/job_board.cc
+++ b/src/batch/open_job_cache.cc
@@ -1,12 +1,12 @@
-#include "src/batch/job_board.h"
+#include "src/batch/open_job_cache.h"
 
 namespace chalkshed {
 
-std::vector<JobId> JobBoard::update_open_jobs(const std::vector<Row>& rows) {
+std::vector<JobId> OpenJobCache::update_open_jobs(const std::vector<Row>& rows) {
   std::vector<JobId> cancelled;
   std::set<JobId> present;
   for (const Row& row : rows) {
-    const KnownJob* known = find(row.key);
+    const CachedJob* known = find(row.key);
     if (known != nullptr && known->version == row.version) {
       present.insert(row.key);
       continue;
@@ -26,8 +26,8 @@
   return cancelled;
 }
 
-void JobBoard::add(const OpenJobRow& row, RowVersion version) {
-  KnownJob& known = jobs_[row.job.id];
+void OpenJobCache::add(const OpenJobRow& row, RowVersion version) {
+  CachedJob& known = jobs_[row.job.id];
   const bool cancelled = known.row.cancelled || row.cancelled;
   known.row = row;
   known.row.cancelled = cancelled;
@@ -38,8 +38,8 @@
   }
 }
 
-bool JobBoard::mark_cancelled(const JobId& job) {
-  KnownJob* known = find(job);
+bool OpenJobCache::mark_cancelled(const JobId& job) {
+  CachedJob* known = find(job);
   if (known == nullptr || known->row.cancelled) {
     return false;
   }
@@ -47,8 +47,8 @@
   return true;
 }
 
-void JobBoard::update_chunks(const JobId& job, const std::vector<Row>& rows) {
-  KnownJob* known = find(job);
+void OpenJobCache::update_chunks(const JobId& job, const std::vector<Row>& rows) {
+  CachedJob* known = find(job);
   if (known == nullptr) {
     return;
   }
@@ -66,37 +66,38 @@
   }
 }
 
-void JobBoard::update_chunk(const JobId& job, uint32_t chunk, const ChunkRow& row,
-                            RowVersion version) {
-  KnownJob* known = find(job);
+void OpenJobCache::update_chunk(const JobId& job, uint32_t chunk, const ChunkRow& row,
+                                RowVersion version) {
+  CachedJob* known = find(job);
   // Versions of a row only grow, so an answer that comes late never hides a newer one.
   if (known == nullptr || chunk >= known->chunks.size() || version < known->chunks[chunk].version) {
     return;
   }
-  KnownChunk& entry = known->chunks[chunk];
+  CachedChunk& entry = known->chunks[chunk];
   entry.state = row.state;
   entry.version = version;
   entry.epoch = row.epoch;
   entry.owner = row.owner;
 }
 
-void JobBoard::set_held(const JobId& job, uint32_t chunk, bool held) {
-  KnownJob* known = find(job);
+void OpenJobCache::set_held(const JobId& job, uint32_t chunk, bool held) {
+  CachedJob* known = find(job);
   if (known != nullptr && chunk < known->chunks.size()) {
     known->chunks[chunk].held = held;
   }
 }
 
-std::optional<ClaimCandidate> JobBoard::candidate(const JobId& job, const Owns& claimable) const {
+std::optional<ClaimCandidate> OpenJobCache::candidate(const JobId& job,
+                                                      const Owns& claimable) const {
   const auto found = jobs_.find(job);
   if (found == jobs_.end() || found->second.row.cancelled) {
     return std::nullopt;
   }
-  const KnownJob& known = found->second;
+  const CachedJob& known = found->second;
   const auto count = static_cast<uint32_t>(known.chunks.size());
   for (uint32_t step = 0; step < count; ++step) {
     const uint32_t number = (known.first_chunk + step) % count;
-    const KnownChunk& chunk = known.chunks[number];
+    const CachedChunk& chunk = known.chunks[number];
     if (chunk.held) {
       continue;
     }
@@ -108,10 +109,10 @@
   return std::nullopt;
 }
 
-std::optional<ClaimCandidate> JobBoard::unheld_chunk_of(const std::string& session) const {
+std::optional<ClaimCandidate> OpenJobCache::unheld_chunk_of(const std::string& session) const {
   for (const auto& [id, job] : jobs_) {
     for (uint32_t number = 0; number < job.chunks.size() && !job.row.cancelled; ++number) {
-      const KnownChunk& chunk = job.chunks[number];
+      const CachedChunk& chunk = job.chunks[number];
       if (chunk.state == ChunkState::kRunning && !chunk.held && chunk.owner == session) {
         return ClaimCandidate{id, number, chunk.version, chunk.epoch, true};
       }
@@ -120,14 +121,14 @@
   return std::nullopt;
 }
 
-std::vector<ClaimCandidate> JobBoard::cancelled_chunks_of(const std::string& session) const {
+std::vector<ClaimCandidate> OpenJobCache::cancelled_chunks_of(const std::string& session) const {
   std::vector<ClaimCandidate> found;
   for (const auto& [id, job] : jobs_) {
     if (!job.row.cancelled) {
       continue;
     }
     for (uint32_t number = 0; number < job.chunks.size(); ++number) {
-      const KnownChunk& chunk = job.chunks[number];
+      const CachedChunk& chunk = job.chunks[number];
       if (chunk.state == ChunkState::kRunning && !chunk.held && chunk.owner == session) {
         found.push_back({id, number, chunk.version, chunk.epoch, false});
       }
@@ -136,15 +137,15 @@
   return found;
 }
 
-KnownJob* JobBoard::find(const JobId& job) {
+CachedJob* OpenJobCache::find(const JobId& job) {
   const auto found = jobs_.find(job);
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-std::set<std::string> JobBoard::owners() const {
+std::set<std::string> OpenJobCache::owners() const {
   std::set<std::string> sessions;
   for (const auto& [id, job] : jobs_) {
-    for (const KnownChunk& chunk : job.chunks) {
+    for (const CachedChunk& chunk : job.chunks) {
       if (chunk.state == ChunkState::kRunning && !chunk.held && !chunk.owner.empty()) {
         sessions.insert(chunk.owner);
       }
--- a/src/batch/job_board.h
+++ b/src/batch/open_job_cache.h
@@ -14,7 +14,7 @@
 namespace chalkshed {
 
 // One chunk as last seen. Version 0: nobody has claimed it yet.
-struct KnownChunk {
+struct CachedChunk {
   ChunkState state = ChunkState::kPending;
   RowVersion version = 0;
   uint64_t epoch = 0;
@@ -22,10 +22,10 @@
   bool held = false;  // claimed, or being claimed, by this node
 };
 
-struct KnownJob {
+struct CachedJob {
   OpenJobRow row;
   RowVersion version = 0;  // of the open job row
-  std::vector<KnownChunk> chunks;
+  std::vector<CachedChunk> chunks;
   uint32_t first_chunk = 0;  // where this node begins to claim
   uint32_t conflicts = 0;    // failed claims since the last scan
 };
@@ -39,7 +39,7 @@
   bool takeover = false;  // from a session that is dead
 };
 
-class JobBoard {
+class OpenJobCache {
  public:
   using Owns = std::function<bool(const std::string& session)>;
 
@@ -65,14 +65,14 @@
   // @return running chunks of cancelled jobs that the session owns and this node does not hold.
   std::vector<ClaimCandidate> cancelled_chunks_of(const std::string& session) const;
 
-  const std::map<JobId, KnownJob>& jobs() const { return jobs_; }
-  KnownJob* find(const JobId& job);
+  const std::map<JobId, CachedJob>& jobs() const { return jobs_; }
+  CachedJob* find(const JobId& job);
   // Sessions of others that own running chunks.
   std::set<std::string> owners() const;
   void set_node_position(double position) { node_position_ = position; }
 
  private:
-  std::map<JobId, KnownJob> jobs_;
+  std::map<JobId, CachedJob> jobs_;
   double node_position_ = 0;  // in [0, 1)
 };
 
--- a/src/batch/work_finder.cc
+++ b/src/batch/work_finder.cc
@@ -13,7 +13,7 @@
 }  // namespace
 
 WorkFinder::WorkFinder(const NodeIdentity& identity, NodeDependencies& dependencies,
-                       const MembershipView& membership, BatchStore& store, JobBoard& board,
+                       const MembershipView& membership, BatchStore& store, OpenJobCache& board,
                        const BatchKnobs& knobs, Events events)
     : identity_(identity),
       dependencies_(dependencies),
@@ -129,7 +129,7 @@
 
 template <typename Done>
 void WorkFinder::scan_job(const JobId& job, Done done) {
-  const KnownJob* known = board_.find(job);
+  const CachedJob* known = board_.find(job);
   if (known == nullptr) {
     done();
     return;
--- a/src/batch/work_finder.h
+++ b/src/batch/work_finder.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "src/batch/batch_store.h"
-#include "src/batch/job_board.h"
 #include "src/batch/job_finisher.h"
+#include "src/batch/open_job_cache.h"
 #include "src/batch/session_watch.h"
 #include "src/membership/rendezvous.h"
 
@@ -25,7 +25,7 @@
   };
 
   WorkFinder(const NodeIdentity& identity, NodeDependencies& dependencies,
-             const MembershipView& membership, BatchStore& store, JobBoard& board,
+             const MembershipView& membership, BatchStore& store, OpenJobCache& board,
              const BatchKnobs& knobs, Events events);
 
   void start();
@@ -54,7 +54,7 @@
   NodeDependencies& dependencies_;
   const MembershipView& membership_;
   BatchStore& store_;
-  JobBoard& board_;
+  OpenJobCache& board_;
   const BatchKnobs& knobs_;
   Events events_;
   JobFinisher finisher_;
--- a/src/node/serving_node.h
+++ b/src/node/serving_node.h
@@ -59,7 +59,8 @@
   WatchPace configuration{.max_wait = std::chrono::milliseconds(1500)};
   WatchPace workers{.max_wait = std::chrono::milliseconds(1500)};
   // Jobs and nodes change more often, and may be known a little later.
-  WatchPace jobs{.max_wait = std::chrono::seconds(5), .batch_delay = std::chrono::milliseconds(150)};
+  WatchPace jobs{.max_wait = std::chrono::seconds(5),
+                 .batch_delay = std::chrono::milliseconds(150)};
   // Contents that are held change seldom, and peers tell of them at once.
   WatchPace quarantine{.max_wait = std::chrono::seconds(30)};
   // While this node is one of many that learn from a relay what has changed: a lost question does
@@ -89,11 +90,11 @@
   first_copy_knobs workers_copy;
   // A node that the store has not answered for so long takes no keys, because one of them may have
   // been taken away; nothing: it goes on by what it knows.
-  std::optional<Duration> longest_unconfirmed;
+  std::optional<Duration> max_unconfirmed_time;
   // A planned stop serves on for this long, until callers are sent elsewhere.
-  Duration least_drain = std::chrono::milliseconds(2600);
+  Duration min_drain_time = std::chrono::milliseconds(2600);
   // It ends after this long whatever still runs: the process is killed soon after.
-  Duration longest_drain = std::chrono::milliseconds(7500);
+  Duration max_drain_time = std::chrono::milliseconds(7500);
 };
 
 class ServingNode {
--- a/tests/jobs/stale_view_test.cc
+++ b/tests/jobs/stale_view_test.cc
@@ -7,7 +7,7 @@
 #include "chalkshed/row_handover.h"
 #include "src/jobs/job_rows.h"
 #include "tests/jobs/ended_job_fixture.h"
-#include "tests/serving/partly_deaf_node.h"
+#include "tests/serving/changes_blocked_node.h"
 
 namespace chalkshed {
 namespace {
@@ -65,7 +65,7 @@
 // that the load is based on is as old as the takeover and must not count as new when the load ends.
 TEST_F(StaleViewTest, TheAgeOfATakeoverCountsFromItsWriteNotFromItsLoad) {
   ServingCluster cluster(2);
-  PartlyDeafNode taker(cluster, "n8");
+  ChangesBlockedNode taker(cluster, "n8");
   cluster.clock.run_for(seconds(1));
   start_job(cluster);
   cluster.peers_answer = false;
@@ -81,7 +81,7 @@
     cluster.clock.run_for(milliseconds(10));
   }
   ASSERT_EQ(epoch(), 2U);
-  taker.store.deaf = true;
+  taker.store.block_changes = true;
   cluster.nodes.at("n1")->dispatcher.thaw();
   cluster.clock.run_for(milliseconds(100));
   const MonotonicTime acknowledged = end_job(cluster, "n1");
@@ -173,7 +173,7 @@
 // writes nothing that would confirm the ownership, and must not wait until changes arrive again.
 TEST_F(StaleViewTest, AJobStartsWhileTheStoreAnswersItsOwnersTransactions) {
   ServingCluster cluster(2, 1);
-  PartlyDeafNode owner(cluster, "n8");
+  ChangesBlockedNode owner(cluster, "n8");
   cluster.clock.run_for(seconds(1));
   for (int number = 0; number < 4; ++number) {
     cluster.request("/fixed/x", "r" + std::to_string(number));
@@ -183,7 +183,7 @@
   });
   cluster.clock.run_for(milliseconds(300));
   ASSERT_TRUE(accepted_);
-  owner.store.deaf = true;
+  owner.store.block_changes = true;
   cluster.clock.run_for(seconds(4));
   ASSERT_EQ(cluster.workers.calls.size(), 4U);
   for (ScriptedCall& call : cluster.workers.calls) {
--- a/tests/quarantine/quarantine_property_test.cc
+++ b/tests/quarantine/quarantine_property_test.cc
@@ -6,7 +6,7 @@
 #include <rapidcheck/gtest.h>
 
 #include "tests/jobs/cluster_faults.h"
-#include "tests/quarantine/ending_fleet.h"
+#include "tests/quarantine/crashing_fleet.h"
 
 namespace chalkshed {
 namespace {
