--- a/src/configuration/configuration_fetcher.cc
+++ b/src/configuration/configuration_fetcher.cc
@@ -24,10 +24,10 @@
       cache_(cache),
       knobs_(knobs),
       peer_fetches_(dependencies.metrics.counter("chalkshed_configuration_fetches_total",
-                                                 "Configuration content requested, by source.",
+                                                 "Configuration content asked for, by source.",
                                                  {{"source", "peer"}})),
       store_fetches_(dependencies.metrics.counter("chalkshed_configuration_fetches_total",
-                                                  "Configuration content requested, by source.",
+                                                  "Configuration content asked for, by source.",
                                                   {{"source", "object_store"}})),
       timeout_(dependencies.dispatcher.create_timer([this] { next_peer(); })) {}
 
--- a/src/configuration/configuration_retention.cc
+++ b/src/configuration/configuration_retention.cc
@@ -28,12 +28,11 @@
       dependencies_(dependencies),
       members_(members),
       knobs_(knobs),
-      removed_versions_(dependencies.metrics.counter(
-          "chalkshed_configuration_versions_removed_total",
-          "Versions removed from the history because of their age.", {})),
-      removed_objects_(dependencies.metrics.counter(
-          "chalkshed_configuration_objects_removed_total",
-          "Objects of old versions removed from the object store.", {})),
+      removed_versions_(
+          dependencies.metrics.counter("chalkshed_configuration_versions_removed_total",
+                                       "Versions removed from the history by their age.", {})),
+      removed_objects_(dependencies.metrics.counter("chalkshed_configuration_objects_removed_total",
+                                                    "Removed objects of old versions.", {})),
       round_timer_(dependencies.dispatcher.create_timer([this] { begin_round(); })),
       pause_timer_(dependencies.dispatcher.create_timer([this] {
         const auto next = std::exchange(after_pause_, nullptr);
--- a/src/once/claim_sweep.cc
+++ b/src/once/claim_sweep.cc
@@ -17,9 +17,9 @@
       members_(members),
       knobs_(knobs),
       removed_(dependencies.metrics.counter("chalkshed_claims_removed_total",
-                                            "Claims removed because they had expired.", {})),
+                                            "Claims removed because of their age.", {})),
       unreadable_(dependencies.metrics.counter("chalkshed_claims_unreadable_total",
-                                               "Malformed rows in the claims table.", {})),
+                                               "Rows of the claims that could not be read.", {})),
       // Nodes start at different buckets, so that they don't sweep at the same times.
       bucket_(static_cast<uint32_t>(content_hash(identity.id) % kClaimBuckets)),
       bucket_timer_(dependencies.dispatcher.create_timer([this] { next_bucket(); })),
--- a/src/policy/lua_policy_evaluator.cc
+++ b/src/policy/lua_policy_evaluator.cc
@@ -35,11 +35,10 @@
   program->source = policy.source;
   program->evaluations =
       &dependencies_.metrics.counter("chalkshed_policy_evaluations_total",
-                                     "Policy decisions requested.", {{"policy", policy.name}});
+                                     "Policy decisions asked for.", {{"policy", policy.name}});
   program->failures = &dependencies_.metrics.counter(
       "chalkshed_policy_failures_total",
-      "Policy evaluations that failed and returned the default decision.",
-      {{"policy", policy.name}});
+      "Policy evaluations that failed and gave the default decision.", {{"policy", policy.name}});
   auto loaded = LuaPolicy::load(policy.name, policy.source, knobs_);
   if (loaded) {
     program->policy = *std::move(loaded);
--- a/src/quarantine/request_quarantine.cc
+++ b/src/quarantine/request_quarantine.cc
@@ -66,9 +66,7 @@
                    {"next_trial_ms", milliseconds_text(wait)}});
     metrics_
         .counter("chalkshed_quarantined_requests_refused_total",
-                 "Requests refused because workers crashed under earlier requests with the same "
-                 "content.",
-                 {})
+                 "Requests refused because workers ended under earlier ones of their content.", {})
         .add(1);
     return error;
 }
@@ -225,7 +223,7 @@
     const std::chrono::duration<double> age = time_source_.monotonic_now() - run.at;
     metrics_
         .histogram("chalkshed_told_break_age_seconds",
-                   "Age of the loss of a run when this node received a peer's report of it.", {})
+                   "How long ago a run had broken off when this node was told of it.", {})
         .observe(age.count());
 }
 
@@ -300,7 +298,8 @@
 void request_quarantine::log_broken(const broken_run &run, const char *source) const {
     metrics_
         .counter("chalkshed_runs_broken_off_total",
-                 "Runs lost with their worker's connection, by who saw it.", {{"source", source}})
+                 "Runs that broke off with their worker's connection, by who saw it.",
+                 {{"source", source}})
         .add(1);
     const size_t crashes = evidence_.crash_count(run.digest);
     if (source == kReported && crashes < 2) {
@@ -344,8 +343,7 @@
                   quarantined ? "request_quarantined" : "quarantine_lifted",
                   {{"content", digest_text(digest)},
                    {"workers_ended", std::to_string(evidence_.crash_count(digest))}});
-    metrics_
-        .gauge("chalkshed_quarantined_contents", "Contents of requests that are quarantined.", {})
+    metrics_.gauge("chalkshed_quarantined_contents", "Contents of requests that are held.", {})
         .set(static_cast<double>(quarantined_.size()));
 }
 
--- a/src/tenant_quota/quota_exchange.cc
+++ b/src/tenant_quota/quota_exchange.cc
@@ -22,7 +22,7 @@
                                const quota_exchange_knobs &knobs)
     : time_source_(time_source), datagrams_(datagrams), quota_(quota), logger_(logger),
       coverage_gauge_(metrics.gauge("chalkshed_quota_coverage",
-                                    "Share of the tenants' limits that this relay hands out.", {})),
+                                    "Share of the tenants' limits that this relay gives out.", {})),
       own_(std::move(own)), knobs_(knobs),
       levels_(time_source.monotonic_now(), tenant_quota_knobs{}.demand_window),
       timer_(dispatcher.create_timer([this] { tick(); })) {}
--- a/src/tenant_quota/tenant_quota.cc
+++ b/src/tenant_quota/tenant_quota.cc
@@ -169,8 +169,8 @@
     }
     metrics_
         .counter("chalkshed_tenant_requests_total",
-                 "Requests of limited tenants by outcome of the limit; tenants with lower "
-                 "limits are combined.",
+                 "Requests of limited tenants by what the limit made of them; tenants with lower "
+                 "limits together.",
                  {{"tenant", with_metrics_.contains(tenant_name) ? tenant_name : "others"},
                   {"outcome", outcome}})
         .add(1);
