--- a/src/history/check_answers.cc
+++ b/src/history/check_answers.cc
@@ -1,4 +1,4 @@
-// Checks of single requests: whole answers, true refusals, at most one run.
+// Per-request checks: complete answers, truthful refusals and at-most-once execution.
 #include "src/history/checks.h"
 
 namespace chalkshed {
@@ -23,16 +23,16 @@
   if (complete && text != expected) {
     const bool is_short = expected.starts_with(text);
     result.violations.push_back("call " + call.began.call + ": " +
-                                (is_short ? "a truncated answer ended as a whole one"
-                                          : "the answer is not that of its request"));
+                                (is_short ? "a truncated answer was reported as complete"
+                                          : "the answer does not match its request"));
   } else if (!complete && !expected.starts_with(text)) {
     result.violations.push_back("call " + call.began.call +
-                                ": the broken answer holds what is not of its request");
+                                ": the partial answer is not a prefix of the expected answer");
   }
 }
 
-void check_lines(const std::string& id, const JobRecord& job, const HistoryIndex& index,
-                 GuaranteeResult& result) {
+void check_job_answers(const std::string& id, const JobRecord& job, const HistoryIndex& index,
+                       GuaranteeResult& result) {
   const auto offer = index.offers.find(job.key);
   if (offer == index.offers.end() || job.outputs.empty()) {
     return;
@@ -47,15 +47,16 @@
     if (item == items.end() ||
         (line.error_kind.empty() && line.text != item->second->expected_text)) {
       result.violations.push_back("job " + id + ": line " + line.custom_id +
-                                  " does not hold the whole answer of its item");
+                                  " does not contain the complete answer of its item");
     }
   }
 }
 
-// @return the request's runs that an engine or back end took up.
-std::vector<const RunRecord*> real_runs(const HistoryIndex& index, const std::string& request) {
+// @return the request's runs that an engine or back end did not refuse.
+std::vector<const RunRecord*> accepted_runs(const HistoryIndex& index, const std::string& request) {
   std::vector<const RunRecord*> runs;
-  if (const auto found = index.request_runs.find(request); found != index.request_runs.end()) {
+  if (const auto found = index.runs_by_request.find(request);
+      found != index.runs_by_request.end()) {
     for (const RunRecord* run : found->second) {
       if (!run->refused()) {
         runs.push_back(run);
@@ -65,7 +66,7 @@
   return runs;
 }
 
-bool said_not_run(const CallRecord* call) {
+bool reported_not_run(const CallRecord* call) {
   return call->ended_with(CallOutcome::kNotConnected) ||
          (call->ended_with(CallOutcome::kFailed) && call->ended->said_not_run);
 }
@@ -78,24 +79,25 @@
     check_answer(call, result);
   }
   for (const auto& [id, job] : index.jobs) {
-    check_lines(id, job, index, result);
+    check_job_answers(id, job, index, result);
   }
   return result;
 }
 
 GuaranteeResult check_not_run_is_true(const HistoryIndex& index) {
   GuaranteeResult result;
-  for (const auto& [request, calls] : index.by_request) {
+  for (const auto& [request, calls] : index.calls_by_request) {
     const CallKind kind = calls.front()->began.kind;
-    // Resends may run what an earlier call did not; only when all say "no" must there be no run.
-    if (!is_answer(kind) || !std::all_of(calls.begin(), calls.end(), said_not_run)) {
+    // A resend may run even though an earlier call did not. A run is a violation only if every call
+    // reported that the request did not run.
+    if (!is_answer(kind) || !std::all_of(calls.begin(), calls.end(), reported_not_run)) {
       continue;
     }
     result.checked += calls.size();
-    const std::vector<const RunRecord*> runs = real_runs(index, request);
+    const std::vector<const RunRecord*> runs = accepted_runs(index, request);
     if (!runs.empty()) {
       result.violations.push_back("call " + calls.front()->began.call +
-                                  " was told that it did not run, but it ran on " +
+                                  " was reported as not run, but it ran on " +
                                   runs.front()->arrived.backend);
     }
   }
@@ -104,16 +106,15 @@
 
 GuaranteeResult check_at_most_once(const HistoryIndex& index) {
   GuaranteeResult result;
-  for (const auto& [request, calls] : index.by_request) {
+  for (const auto& [request, calls] : index.calls_by_request) {
     if (!calls.front()->began.not_repeatable) {
       continue;
     }
     ++result.checked;
-    const size_t runs = real_runs(index, request).size();
+    const size_t runs = accepted_runs(index, request).size();
     if (runs > 1) {
       result.violations.push_back("request of call " + calls.front()->began.call +
-                                  " must not be repeated, but ran " + std::to_string(runs) +
-                                  " times");
+                                  " is not repeatable, but ran " + std::to_string(runs) + " times");
     }
   }
   return result;
--- a/src/history/check_batch.cc
+++ b/src/history/check_batch.cc
@@ -1,4 +1,5 @@
-// Checks of jobs: every accepted item exactly once, and no work after a reported cancel.
+// Job checks: every accepted item completes exactly once, and no work is done after a job is
+// reported as cancelled.
 #include "src/history/checks.h"
 
 namespace chalkshed {
@@ -7,7 +8,7 @@
 
 using Violations = std::vector<std::string>;
 
-// The lines of one read by item. A line that comes twice is a violation.
+// Indexes the lines of one output read by item. A duplicate line is a violation.
 std::map<std::string, JobOutputLine> lines_by_item(const JobOutput& output,
                                                    Violations& violations) {
   std::map<std::string, JobOutputLine> lines;
@@ -29,7 +30,7 @@
   return sentence;
 }
 
-// What was readable must stay readable and stay the same.
+// A result that was once readable must remain readable and unchanged.
 void check_reads_agree(const std::string& job, const std::map<std::string, JobOutputLine>& before,
                        const std::map<std::string, JobOutputLine>& after, Violations& violations) {
   for (const auto& [item, line] : before) {
@@ -38,7 +39,7 @@
       violations.push_back(about_item(job, item, " is no longer readable"));
     } else if (found->second.text != line.text || found->second.error_kind != line.error_kind ||
                found->second.completion != line.completion) {
-      violations.push_back(about_item(job, item, " completed anew with another result"));
+      violations.push_back(about_item(job, item, " completed again with a different result"));
     }
   }
 }
@@ -58,11 +59,11 @@
     }
   }
   if (lines.size() > items.size()) {
-    violations.push_back("job " + job + ": output holds items that were never sent");
+    violations.push_back("job " + job + ": output contains items that were never submitted");
   }
 }
 
-MonotonicTime began_at(const OutputRead& read, const HistoryIndex& index) {
+MonotonicTime read_began_at(const OutputRead& read, const HistoryIndex& index) {
   const auto call = index.calls.find(read.output.call);
   return call == index.calls.end() ? read.read_at : call->second.began_at;
 }
@@ -78,8 +79,8 @@
   bool read_at_end = false;
   for (const OutputRead& read : job.outputs) {
     std::map<std::string, JobOutputLine> lines = lines_by_item(read.output, violations);
-    // A read that began before the previous one ended may show an older state.
-    if (began_at(read, index) >= previous_read_at) {
+    // A read that began before the previous one ended may return an older state.
+    if (read_began_at(read, index) >= previous_read_at) {
       check_reads_agree(id, previous, lines, violations);
     }
     previous = std::move(lines);
@@ -91,23 +92,24 @@
   }
   const bool cancelled = job.cancel_requested_at.has_value();
   if (!read_at_end && !cancelled) {
-    violations.push_back("job " + id + ": its output could not be read at the end");
+    violations.push_back("job " + id +
+                         ": its output was not read after the cluster became quiescent");
     return;
   }
   check_final_output(id, offer->second.items, previous, cancelled, violations);
 }
 
-// @return whether the engine did work for the run after `time`.
-bool worked_after(const RunRecord& run, MonotonicTime time, const HistoryIndex& index) {
+// @return whether the engine worked on the run after `time`.
+bool ran_after(const RunRecord& run, MonotonicTime time, const HistoryIndex& index) {
   const MonotonicTime last = run.ended ? run.ended_at : index.end;
   const MonotonicTime first = std::max(run.arrived_at, time);
   if (run.refused() || last <= first) {
     return false;
   }
-  // A paused engine keeps its runs but does nothing for them.
+  // A frozen engine keeps its runs but makes no progress on them.
   return std::none_of(index.faults.begin(), index.faults.end(), [&](const auto& entry) {
     const FaultRecord& fault = entry.second;
-    return fault.fault.kind == "freeze_worker" && fault.touches(run.arrived.backend) &&
+    return fault.fault.kind == "freeze_worker" && fault.affects(run.arrived.backend) &&
            fault.interval.begin <= first && fault.interval.end && *fault.interval.end >= last;
   });
 }
@@ -117,11 +119,11 @@
 GuaranteeResult check_exactly_once(const HistoryIndex& index) {
   GuaranteeResult result;
   for (const auto& [key, offer] : index.offers) {
-    if (offer.accepted_as.size() > 1) {
+    if (offer.job_ids.size() > 1) {
       result.violations.push_back("submission " + key + " was accepted as " +
-                                  std::to_string(offer.accepted_as.size()) + " jobs");
+                                  std::to_string(offer.job_ids.size()) + " jobs");
     }
-    if (!offer.accepted_as.empty()) {
+    if (!offer.job_ids.empty()) {
       result.checked += offer.items.size();
     }
   }
@@ -141,14 +143,15 @@
     const MonotonicTime cancelled = *job.reported_cancelled_at;
     for (const JobItem& item : offer->second.items) {
       ++result.checked;
-      const auto runs = index.request_runs.find(item.request);
-      if (runs == index.request_runs.end()) {
+      const auto runs = index.runs_by_request.find(item.request);
+      if (runs == index.runs_by_request.end()) {
         continue;
       }
       for (const RunRecord* run : runs->second) {
-        if (worked_after(*run, cancelled, index)) {
+        if (ran_after(*run, cancelled, index)) {
           result.violations.push_back("job " + id + ": item " + item.custom_id + " ran on " +
-                                      run->arrived.backend + " after the reported cancel");
+                                      run->arrived.backend +
+                                      " after the job was reported as cancelled");
         }
       }
     }
--- a/src/history/check_configuration.cc
+++ b/src/history/check_configuration.cc
@@ -1,4 +1,5 @@
-// Check of configuration: versions only rise, accepted changes are never lost and soon in force.
+// Configuration check: versions never decrease, and accepted changes are never lost and take effect
+// on every reachable node within a bound.
 #include "src/history/checks.h"
 
 namespace chalkshed {
@@ -10,7 +11,7 @@
   std::string change;
 };
 
-// What one node put into force, and when its processes began.
+// Versions that one node applied, and when its processes started and ended.
 struct NodeRecord {
   struct Step {
     MonotonicTime time;
@@ -25,18 +26,18 @@
     return after == starts.begin() ? std::nullopt : std::optional(*std::prev(after));
   }
 
-  // @return whether one process ran from `from` to `until`.
+  // @return whether a single process ran from `from` to `until`.
   bool ran(MonotonicTime from, MonotonicTime until) const {
     const std::optional<MonotonicTime> start = last_start(until);
     if (!start) {
-      return starts.empty();  // recorded without its start: taken as running all the time
+      return starts.empty();  // no recorded start: assumed to run all the time
     }
     return *start <= from && std::none_of(ends.begin(), ends.end(), [&](MonotonicTime end) {
       return end > *start && end <= until;
     });
   }
 
-  // @return the version in force at `time`, 0 if none since the last start.
+  // @return the version in effect at `time`, or 0 if none was applied since the last start.
   uint64_t version_at(MonotonicTime time) const {
     const std::optional<MonotonicTime> start = last_start(time);
     uint64_t version = 0;
@@ -60,7 +61,7 @@
     }
     for (const auto& [version, accepted] : accepted_) {
       for (const auto& [node, record] : nodes_) {
-        check_spread(version, accepted, node, record);
+        check_propagation(version, accepted, node, record);
       }
     }
     return std::move(result_);
@@ -83,7 +84,8 @@
     const auto [found, is_new] =
         accepted_.emplace(accepted.version, Accepted{time, accepted.change});
     if (!is_new && found->second.change != accepted.change) {
-      violate("version " + std::to_string(accepted.version) + " was accepted for two changes");
+      add_violation("version " + std::to_string(accepted.version) +
+                    " was accepted for two different changes");
     }
   }
 
@@ -92,8 +94,8 @@
     NodeRecord& record = nodes_[in_force.node];
     const uint64_t before = record.version_at(time);
     if (in_force.version < before) {
-      violate(in_force.node + " went back from version " + std::to_string(before) + " to " +
-              std::to_string(in_force.version));
+      add_violation(in_force.node + " reverted from version " + std::to_string(before) + " to " +
+                    std::to_string(in_force.version));
     }
     if (before == 0) {
       check_first_version(in_force, record.last_start(time).value_or(time));
@@ -102,30 +104,30 @@
       const bool holds = std::find(in_force.changes.begin(), in_force.changes.end(),
                                    accepted.change) != in_force.changes.end();
       if (version <= in_force.version && !holds) {
-        violate("version " + std::to_string(in_force.version) + " on " + in_force.node +
-                " lacks the accepted change " + accepted.change);
+        add_violation("version " + std::to_string(in_force.version) + " on " + in_force.node +
+                      " lacks the accepted change " + accepted.change);
       }
     }
     record.steps.push_back({time, in_force.version});
   }
 
-  // A node that starts must not serve what was replaced before it started.
+  // A node must not start with a version that had been superseded before it started.
   void check_first_version(const ConfigurationInForce& in_force, MonotonicTime started) {
     for (const auto& [version, accepted] : accepted_) {
       if (version > in_force.version && accepted.time < started) {
-        violate(in_force.node + " started with version " + std::to_string(in_force.version) +
-                " though " + std::to_string(version) + " was accepted before");
+        add_violation(in_force.node + " started with version " + std::to_string(in_force.version) +
+                      " though " + std::to_string(version) + " had been accepted before the start");
         return;
       }
     }
   }
 
-  // The first time from which the node ran undisturbed for the whole spread bound.
-  std::optional<MonotonicTime> undisturbed_since(const std::string& node, const NodeRecord& record,
-                                                 MonotonicTime from) const {
+  // @return the first time from which the node ran without faults for the whole propagation bound.
+  std::optional<MonotonicTime> fault_free_since(const std::string& node, const NodeRecord& record,
+                                                MonotonicTime from) const {
     std::set<MonotonicTime> candidates{from};
     for (const auto& [id, fault] : index_.faults) {
-      if (fault.touches(node) && fault.interval.end && *fault.interval.end >= from) {
+      if (fault.affects(node) && fault.interval.end && *fault.interval.end >= from) {
         candidates.insert(*fault.interval.end + Duration(1));
       }
     }
@@ -135,9 +137,9 @@
       }
     }
     for (const MonotonicTime candidate : candidates) {
-      const MonotonicTime until = candidate + bounds_.configuration_spread;
+      const MonotonicTime until = candidate + bounds_.configuration_propagation;
       if (record.ran(candidate, until) && !stopping(node, candidate, until) &&
-          !index_.disturbed(node, candidate, until)) {
+          !index_.has_fault(node, candidate, until)) {
         return candidate;
       }
     }
@@ -151,24 +153,24 @@
                        [&](const Interval& stop) { return stop.overlaps(from, to); });
   }
 
-  void check_spread(uint64_t version, const Accepted& accepted, const std::string& node,
-                    const NodeRecord& record) {
+  void check_propagation(uint64_t version, const Accepted& accepted, const std::string& node,
+                         const NodeRecord& record) {
     if (record.steps.empty()) {
-      return;  // not a node, or one that never served
+      return;  // not a node, or a node that never applied a configuration
     }
-    const std::optional<MonotonicTime> since = undisturbed_since(node, record, accepted.time);
-    if (!since || *since + bounds_.configuration_spread > index_.end) {
+    const std::optional<MonotonicTime> since = fault_free_since(node, record, accepted.time);
+    if (!since || *since + bounds_.configuration_propagation > index_.end) {
       return;
     }
     ++result_.checked;
-    const uint64_t in_force = record.version_at(*since + bounds_.configuration_spread);
+    const uint64_t in_force = record.version_at(*since + bounds_.configuration_propagation);
     if (in_force < version) {
-      violate("version " + std::to_string(version) + " was not in force on " + node +
-              " in time; it had " + std::to_string(in_force));
+      add_violation("version " + std::to_string(version) + " did not take effect on " + node +
+                    " in time; the version there was " + std::to_string(in_force));
     }
   }
 
-  void violate(std::string sentence) { result_.violations.push_back(std::move(sentence)); }
+  void add_violation(std::string sentence) { result_.violations.push_back(std::move(sentence)); }
 
   const HistoryIndex& index_;
   const CheckerBounds& bounds_;
--- a/src/history/check_serving.cc
+++ b/src/history/check_serving.cc
@@ -1,31 +1,31 @@
-// Checks of back ends and stops: online before batch, leaving back ends, planned stops.
+// Serving checks: online priority over batch, leaving back ends and planned stops.
 #include "src/history/checks.h"
 
 namespace chalkshed {
 
 namespace {
 
-// Gossip must overcome lost and reordered datagrams, so they excuse nothing.
+// Gossip must tolerate lost and reordered datagrams, so these faults extend no deadline.
 constexpr std::string_view kDatagramFaultKind = "datagram_faults";
 
-// @return whether a batch sequence ran or was taken in while `online` waited past its bound.
+// @return whether a batch sequence ran or was admitted while `online` waited past its bound.
 bool waited_behind_batch(const RunRecord& online, const std::vector<const RunRecord*>& runs,
                          const CheckerBounds& bounds) {
-  const uint64_t last_fair_step = online.arrived.step + bounds.online_wait_steps;
-  if (online.admitted->step <= last_fair_step) {
+  const uint64_t last_allowed_step = online.arrived.step + bounds.online_wait_steps;
+  if (online.admitted->step <= last_allowed_step) {
     return false;
   }
   return std::any_of(runs.begin(), runs.end(), [&](const RunRecord* run) {
-    const bool ran_before =
+    const bool started_before =
         run->arrived.batch && run->admitted && run->admitted->step <= online.admitted->step;
-    const bool ran_still = !run->ended || run->ended->step > last_fair_step;
-    return ran_before && ran_still;
+    const bool still_running = !run->ended || run->ended->step > last_allowed_step;
+    return started_before && still_running;
   });
 }
 
 void check_engines(const HistoryIndex& index, const CheckerBounds& bounds,
                    GuaranteeResult& result) {
-  for (const auto& [backend, runs] : index.backend_runs) {
+  for (const auto& [backend, runs] : index.runs_by_backend) {
     for (const RunRecord* run : runs) {
       if (run->arrived.batch || !run->admitted) {
         continue;
@@ -33,13 +33,13 @@
       ++result.checked;
       if (waited_behind_batch(*run, runs, bounds)) {
         result.violations.push_back("online run " + run->arrived.attempt + " waited on " + backend +
-                                    " while batch ran");
+                                    " while a batch run was in progress");
       }
     }
   }
 }
 
-// @return when the call's node first handed its request to an engine during the call.
+// @return when the call's node first sent its request to an engine during the call.
 std::optional<MonotonicTime> first_sent(const CallRecord& call, const HistoryIndex& index) {
   const auto sent = index.sent.find(call.began.request);
   if (sent == index.sent.end()) {
@@ -69,35 +69,38 @@
     }
     ++result.checked;
     const bool late = *sent - *call.arrived_at > bounds.online_dispatch;
-    if (late && !index.disturbed(call.began.node, *call.arrived_at, *sent)) {
-      result.violations.push_back("call " + id + " waited in its node before it was sent on");
+    if (late && !index.has_fault(call.began.node, *call.arrived_at, *sent)) {
+      result.violations.push_back("call " + id +
+                                  " waited too long in its node before it was sent to an engine");
     }
   }
 }
 
-bool touches_node(const FaultRecord& fault, const std::string& node) {
-  return !node.empty() && fault.touches(node);
+bool affects_node(const FaultRecord& fault, const std::string& node) {
+  return !node.empty() && fault.affects(node);
 }
 
-// @return from when on the sender must leave the back end alone: a node that is paused or cut off
-// learns nothing, and tells nobody of the order that it took, until that is over.
-MonotonicTime idle_from(const Interval& leaving, const RunRecord& run, const HistoryIndex& index,
-                        const CheckerBounds& bounds) {
+// @return the time from which the sender must not use the back end. A node that is paused or
+// partitioned neither learns of a leave order nor propagates one that it received until it
+// recovers.
+MonotonicTime exclusion_start(const Interval& leaving, const RunRecord& run,
+                              const HistoryIndex& index, const CheckerBounds& bounds) {
   MonotonicTime known_since = leaving.begin;
   for (const auto& [id, fault] : index.faults) {
-    const bool spreads = fault.fault.processes.empty() || fault.fault.kind == kDatagramFaultKind;
-    const bool touches = !spreads && (touches_node(fault, run.arrived.sender) ||
-                                      touches_node(fault, leaving.ordered_at));
-    if (touches && fault.interval.overlaps(leaving.begin, run.arrived_at)) {
+    const bool cluster_wide =
+        fault.fault.processes.empty() || fault.fault.kind == kDatagramFaultKind;
+    const bool affects = !cluster_wide && (affects_node(fault, run.arrived.sender) ||
+                                           affects_node(fault, leaving.ordered_at));
+    if (affects && fault.interval.overlaps(leaving.begin, run.arrived_at)) {
       known_since = std::max(known_since, fault.interval.end.value_or(run.arrived_at));
     }
   }
   return known_since + bounds.leaving_grace;
 }
 
-// @return the interval within which the back end must receive nothing, if it covers the run.
-const Interval* idle_interval(const std::vector<Interval>& intervals, MonotonicTime time,
-                              Duration grace) {
+// @return the interval containing `time` in which the back end must receive no work, or null.
+const Interval* find_exclusion(const std::vector<Interval>& intervals, MonotonicTime time,
+                               Duration grace) {
   const auto found =
       std::find_if(intervals.begin(), intervals.end(), [&](const Interval& interval) {
         return time > interval.begin + grace && (!interval.end || time < *interval.end);
@@ -114,7 +117,8 @@
   return result;
 }
 
-// @return when the run was sent, where that is known: a paused back end takes it up later.
+// @return when the run was sent if that is known, else when it arrived. A paused back end receives
+// a run later than it was sent.
 MonotonicTime sent_at(const RunRecord& run, const HistoryIndex& index) {
   MonotonicTime sent = run.arrived_at;
   const auto records = index.sent.find(run.arrived.request);
@@ -133,18 +137,18 @@
   GuaranteeResult result;
   for (const auto& [attempt, run] : index.runs) {
     const MonotonicTime time = sent_at(run, index);
-    // A choice of a back end counts as checked while any back end had to be left alone.
+    // Every run sent while any back end had to be excluded counts as checked.
     const bool counts =
         std::any_of(index.leaving.begin(), index.leaving.end(), [&](const auto& entry) {
-          return idle_interval(entry.second, time, bounds.leaving_grace) != nullptr;
+          return find_exclusion(entry.second, time, bounds.leaving_grace) != nullptr;
         });
     result.checked += counts ? 1 : 0;
     const auto leaving = index.leaving.find(run.arrived.backend);
     if (leaving == index.leaving.end()) {
       continue;
     }
-    const Interval* interval = idle_interval(leaving->second, time, bounds.leaving_grace);
-    if (interval != nullptr && time > idle_from(*interval, run, index, bounds)) {
+    const Interval* interval = find_exclusion(leaving->second, time, bounds.leaving_grace);
+    if (interval != nullptr && time > exclusion_start(*interval, run, index, bounds)) {
       result.violations.push_back("leaving back end " + run.arrived.backend + " received run " +
                                   attempt);
     }
@@ -168,7 +172,7 @@
     }
     ++result.checked;
     const bool broken = call.ended_with(CallOutcome::kBroken) &&
-                        !index.disturbed(call.began.node, call.began_at, call.ended_at);
+                        !index.has_fault(call.began.node, call.began_at, call.ended_at);
     if (call.ended_with(CallOutcome::kCutOffByExit) || broken) {
       result.violations.push_back("call " + id + " was cut off by the planned stop of " +
                                   call.began.node);
--- a/src/history/checker.h
+++ b/src/history/checker.h
@@ -1,4 +1,4 @@
-// Checks of the product's guarantees over a recorded history.
+// Checks the serving guarantees against a recorded history.
 #pragma once
 
 #include <array>
@@ -27,7 +27,7 @@
 std::string_view guarantee_name(Guarantee guarantee);
 
 struct GuaranteeResult {
-  uint64_t checked = 0;                 // occasions on which the guarantee could have been broken
+  uint64_t checked = 0;                 // cases in which the guarantee could have been violated
   std::vector<std::string> violations;  // one sentence each
 };
 
@@ -43,17 +43,17 @@
   size_t violation_count() const;
 };
 
-// Bounds within which the guarantees that speak of time must hold.
+// Bounds for the guarantees that have a deadline.
 struct CheckerBounds {
-  // After this a leaving back end receives nothing new; counted from the end of the pause or cut
-  // for a node that was paused or cut off, or that took the order and was.
+  // A leaving back end receives no new work after this long. If the sender or the node that
+  // received the leave order was paused or partitioned, the time counts from the end of that fault.
   Duration leaving_grace = std::chrono::seconds(3);
-  // From acceptance until a version is in force on every node that can be reached.
-  Duration configuration_spread = std::chrono::seconds(10);
-  // From a node's taking up an online request until it hands it to an engine.
+  // Maximum time from acceptance until a version is in effect on every reachable node.
+  Duration configuration_propagation = std::chrono::seconds(10);
+  // Maximum time from a node's receipt of an online request until it sends it to an engine.
   Duration online_dispatch = std::chrono::milliseconds(50);
-  // Engine steps that an online request may wait while batch runs: the one under way when it came
-  // and the one that takes it in.
+  // Engine steps that an online request may wait while batch runs: the step in progress when it
+  // arrives and the step that admits it.
   uint64_t online_wait_steps = 2;
 };
 
--- a/src/history/checks.h
+++ b/src/history/checks.h
@@ -1,4 +1,4 @@
-// The single checks behind check_history(), one function a guarantee.
+// The individual checks behind check_history(), one function per guarantee.
 #pragma once
 
 #include "src/history/checker.h"
--- a/src/history/event.h
+++ b/src/history/event.h
@@ -1,6 +1,6 @@
-// What is recorded of a run of a cluster: what callers sent and saw, what engines and back ends
-// ran, and which faults were in force. The checker needs nothing else, so the same checks serve the
-// simulator and real processes.
+// Events recorded while a cluster runs: what callers sent and received, what engines and back ends
+// ran, and which faults were active. The checker needs nothing else, so the same checks apply to
+// the simulator and to real processes.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,8 @@
 namespace chalkshed {
 
 enum class CallKind {
-  kCompletion,  // plain answer of a model
-  kStream,      // streamed answer of a model
+  kCompletion,  // non-streaming completion from a model
+  kStream,      // streaming completion from a model
   kService,     // pass-through to a plain back end
   kSubmitJob,
   kCancelJob,
@@ -23,39 +23,39 @@
   kQuery,  // reads of status, output or configuration
 };
 
-// A caller sent a request to a node. Resends are calls of their own with the same `request`.
+// A caller sent a request to a node. Each resend is a separate call with the same `request`.
 struct CallBegan {
   std::string call;     // unique
-  std::string request;  // what is run: the prompt or body; unique to the request, shared by resends
+  std::string request;  // prompt or body; unique to the request, shared by its resends
   std::string node;
   CallKind kind = CallKind::kCompletion;
   bool not_repeatable = false;
-  std::string expected_text;  // the whole answer; empty where the checker needs none
+  std::string expected_text;  // the complete answer; empty if the checker needs none
 };
 
-// The node's process took the call up.
+// The node's process received the call.
 struct CallArrived {
   std::string call;
 };
 
 enum class CallOutcome {
-  kComplete,      // ended as a whole answer
-  kFailed,        // ended visibly with an error
-  kBroken,        // the connection ended before the answer
-  kNotConnected,  // no connection: certainly nothing was sent
-  kGaveUp,        // the caller waited no longer
+  kComplete,      // the answer ended normally
+  kFailed,        // the node returned an error
+  kBroken,        // the connection closed before the answer ended
+  kNotConnected,  // no connection was made, so nothing was sent
+  kGaveUp,        // the caller timed out
   kCutOffByExit,  // the node's process exited in a planned stop while the call was in progress
 };
 
 struct CallEnded {
   std::string call;
   CallOutcome outcome = CallOutcome::kComplete;
-  std::string text;           // what arrived of the answer
-  std::string error_kind;     // kFailed: name of the kind
-  bool said_not_run = false;  // kFailed: the error said `ran: "no"`
+  std::string text;           // the part of the answer that was received
+  std::string error_kind;     // kFailed: name of the error kind
+  bool said_not_run = false;  // kFailed: the error contained `ran: "no"`
 };
 
-// A node handed a request to an engine or back end.
+// A node sent a request to an engine or back end.
 struct RunSent {
   std::string node;
   std::string request;
@@ -67,11 +67,11 @@
   std::string attempt;
   std::string request;
   bool batch = false;
-  uint64_t step = 0;   // engine step under way or done last
-  std::string sender;  // node that sent it, where known
+  uint64_t step = 0;   // engine step in progress, or the last finished one
+  std::string sender;  // node that sent it, if known
 };
 
-// The engine took the request into its running set.
+// The engine admitted the request to its running set.
 struct RunAdmitted {
   std::string backend;
   std::string attempt;
@@ -82,7 +82,7 @@
   kFinished,
   kCancelled,
   kRefused,       // never run
-  kLost,          // the engine died
+  kLost,          // the engine crashed
   kCutOffByExit,  // the engine exited in a planned stop
 };
 
@@ -111,12 +111,12 @@
   std::string job;
 };
 
-// A caller asked for the job to be cancelled.
+// A caller requested cancellation of the job.
 struct JobCancelRequested {
   std::string job;
 };
 
-// A node answered with this status of the job.
+// A node reported this status of the job.
 struct JobReported {
   std::string job;
   std::string status;
@@ -126,43 +126,44 @@
   std::string custom_id;
   std::string text;
   std::string error_kind;  // empty: the item succeeded
-  std::string completion;  // id of the completion that is in force
+  std::string completion;  // id of the completion that counts
 };
 
 // A caller read the job's output.
 struct JobOutput {
   std::string job;
   std::vector<JobOutputLine> lines;
-  std::string call;  // by which it was read
+  std::string call;  // the call that read it
 };
 
-// A process began (anew) to run.
+// A process started or restarted.
 struct ProcessStarted {
   std::string process;
   uint64_t incarnation = 0;
 };
 
-// The process is gone, in whatever way.
+// The process has exited or was killed.
 struct ProcessEnded {
   std::string process;
 };
 
-// A fault that may delay or break what the named processes do.
+// A fault that may delay or break operations of the named processes.
 struct FaultBegan {
   uint64_t fault = 0;  // unique
   std::string kind;
-  std::vector<std::string> processes;  // empty: the platform, so all of them
+  std::vector<std::string> processes;  // empty: a platform fault, which affects all processes
 };
 
 struct FaultEnded {
   uint64_t fault = 0;
 };
 
-// An engine or back end was ordered, listed or announced to be leaving, or returned from it.
+// An engine or back end became leaving, by an operator's order, in the machine list or by its own
+// announcement, or stopped leaving.
 struct LeavingChanged {
   std::string backend;
   bool leaving = true;
-  std::string ordered_at;  // node that took an operator's order; empty otherwise
+  std::string ordered_at;  // node that received an operator's order; empty otherwise
 };
 
 // A node or back end was told to stop; `ended` once its process has exited.
@@ -171,20 +172,20 @@
   bool ended = false;
 };
 
-// An operator heard that the change was accepted as this version.
+// An operator received the acknowledgement that the change was accepted as this version.
 struct ConfigurationAccepted {
   uint64_t version = 0;
-  std::string change;  // unique name that the configuration contains from then on
+  std::string change;  // unique name contained in every later configuration
 };
 
-// A node puts this version into force.
+// A node applied this version.
 struct ConfigurationInForce {
   std::string node;
   uint64_t version = 0;
-  std::vector<std::string> changes;  // those that it contains
+  std::vector<std::string> changes;  // changes that the version contains
 };
 
-// All faults have healed, and the cluster was given the time to finish everything.
+// All faults have ended, and the cluster has had time to finish all pending work.
 struct Quiescent {};
 
 using EventData =
@@ -198,7 +199,7 @@
   EventData data;
 };
 
-// In ascending order of time.
+// Events in ascending order of time.
 using History = std::vector<Event>;
 
 }  // namespace chalkshed
--- a/src/history/history_index.cc
+++ b/src/history/history_index.cc
@@ -4,7 +4,7 @@
 
 namespace chalkshed {
 
-bool FaultRecord::touches(const std::string& process) const {
+bool FaultRecord::affects(const std::string& process) const {
   const std::vector<std::string>& processes = fault.processes;
   return processes.empty() ||
          std::find(processes.begin(), processes.end(), process) != processes.end();
@@ -62,7 +62,7 @@
   if (const auto* offered = std::get_if<JobOffered>(&data)) {
     offers[offered->key].items = offered->items;
   } else if (const auto* accepted = std::get_if<JobAccepted>(&data)) {
-    offers[accepted->key].accepted_as.insert(accepted->job);
+    offers[accepted->key].job_ids.insert(accepted->job);
     JobRecord& job = jobs[accepted->job];
     if (job.key.empty()) {
       job.key = accepted->key;
@@ -84,8 +84,8 @@
 
 namespace {
 
-void open_or_close(std::vector<Interval>& intervals, MonotonicTime time, bool open,
-                   const std::string& ordered_at = "") {
+void update_interval(std::vector<Interval>& intervals, MonotonicTime time, bool open,
+                     const std::string& ordered_at = "") {
   const bool is_open = !intervals.empty() && !intervals.back().end;
   if (open && !is_open) {
     intervals.push_back({time, std::nullopt, ordered_at});
@@ -102,33 +102,33 @@
   } else if (const auto* ended = std::get_if<FaultEnded>(&data)) {
     faults[ended->fault].interval.end = time;
   } else if (const auto* changed = std::get_if<LeavingChanged>(&data)) {
-    open_or_close(leaving[changed->backend], time, changed->leaving, changed->ordered_at);
+    update_interval(leaving[changed->backend], time, changed->leaving, changed->ordered_at);
   } else if (const auto* stop = std::get_if<PlannedStop>(&data)) {
-    open_or_close(stops[stop->process], time, !stop->ended);
+    update_interval(stops[stop->process], time, !stop->ended);
   }
 }
 
 void HistoryIndex::link() {
   for (const auto& [id, call] : calls) {
-    by_request[call.began.request].push_back(&call);
+    calls_by_request[call.began.request].push_back(&call);
   }
   for (const auto& [attempt, run] : runs) {
-    request_runs[run.arrived.request].push_back(&run);
-    backend_runs[run.arrived.backend].push_back(&run);
+    runs_by_request[run.arrived.request].push_back(&run);
+    runs_by_backend[run.arrived.backend].push_back(&run);
   }
   const auto by_arrival = [](const RunRecord* left, const RunRecord* right) {
     return left->arrived_at < right->arrived_at;
   };
-  for (auto& [backend, list] : backend_runs) {
+  for (auto& [backend, list] : runs_by_backend) {
     std::stable_sort(list.begin(), list.end(), by_arrival);
   }
 }
 
-bool HistoryIndex::disturbed(const std::string& process, MonotonicTime from,
+bool HistoryIndex::has_fault(const std::string& process, MonotonicTime from,
                              MonotonicTime to) const {
   return std::any_of(faults.begin(), faults.end(), [&](const auto& entry) {
     const FaultRecord& record = entry.second;
-    return record.touches(process) && record.interval.overlaps(from, to);
+    return record.affects(process) && record.interval.overlaps(from, to);
   });
 }
 
--- a/src/history/history_index.h
+++ b/src/history/history_index.h
@@ -1,4 +1,4 @@
-// A history by subject, built once for all checks.
+// Indexes a history by call, run, job, fault and process. Built once and shared by all checks.
 #pragma once
 
 #include <map>
@@ -18,7 +18,6 @@
   std::optional<CallEnded> ended;
   MonotonicTime ended_at;
 
-  // Complete and visible errors alike: what the node itself wrote as the answer's end.
   bool ended_with(CallOutcome outcome) const { return ended && ended->outcome == outcome; }
 };
 
@@ -55,14 +54,14 @@
 
 struct JobOffer {
   std::vector<JobItem> items;
-  std::set<std::string> accepted_as;  // job ids
+  std::set<std::string> job_ids;  // job ids
 };
 
-// A span of time; `end` is absent while it lasts to the history's end.
+// A time interval; `end` is absent if it lasts to the end of the history.
 struct Interval {
   MonotonicTime begin;
   std::optional<MonotonicTime> end;
-  std::string ordered_at;  // leaving back ends: the node that took the order
+  std::string ordered_at;  // leaving back ends: the node that received the order
 
   bool overlaps(MonotonicTime from, MonotonicTime to) const {
     return begin <= to && (!end || *end >= from);
@@ -73,28 +72,28 @@
   FaultBegan fault;
   Interval interval;
 
-  bool touches(const std::string& process) const;
+  bool affects(const std::string& process) const;
 };
 
 struct HistoryIndex {
   explicit HistoryIndex(const History& history);
 
-  std::map<std::string, CallRecord> calls;                            // by call
-  std::map<std::string, std::vector<const CallRecord*>> by_request;   // calls by request
-  std::map<std::string, RunRecord> runs;                              // by attempt
-  std::map<std::string, std::vector<const RunRecord*>> request_runs;  // runs by request
-  std::map<std::string, std::vector<const RunRecord*>> backend_runs;  // by back end, by arrival
-  std::map<std::string, std::vector<SentRecord>> sent;                // by request
-  std::map<std::string, JobOffer> offers;                             // by key
-  std::map<std::string, JobRecord> jobs;                              // by job id
+  std::map<std::string, CallRecord> calls;                                 // by call
+  std::map<std::string, std::vector<const CallRecord*>> calls_by_request;  // calls by request
+  std::map<std::string, RunRecord> runs;                                   // by attempt
+  std::map<std::string, std::vector<const RunRecord*>> runs_by_request;    // runs by request
+  std::map<std::string, std::vector<const RunRecord*>> runs_by_backend;  // by back end, by arrival
+  std::map<std::string, std::vector<SentRecord>> sent;                   // by request
+  std::map<std::string, JobOffer> offers;                                // by key
+  std::map<std::string, JobRecord> jobs;                                 // by job id
   std::map<uint64_t, FaultRecord> faults;
   std::map<std::string, std::vector<Interval>> leaving;  // by back end
   std::map<std::string, std::vector<Interval>> stops;    // by process
   MonotonicTime end;                                     // time of the last event
   std::optional<MonotonicTime> quiescent_at;
 
-  // @return whether a fault that touches `process` overlaps the span.
-  bool disturbed(const std::string& process, MonotonicTime from, MonotonicTime to) const;
+  // @return whether a fault that affects `process` overlaps the interval [from, to].
+  bool has_fault(const std::string& process, MonotonicTime from, MonotonicTime to) const;
 
  private:
   void add_call(MonotonicTime time, const EventData& data);
--- a/src/history/json_lines.cc
+++ b/src/history/json_lines.cc
@@ -55,7 +55,7 @@
 
 namespace {
 
-// Names of the events, in the order of the alternatives of EventData.
+// Event names, in the order of the alternatives of EventData.
 constexpr std::array kEventNames{"call_began",
                                  "call_arrived",
                                  "call_ended",
@@ -127,7 +127,7 @@
   } catch (const Json::exception& problem) {
     return tl::unexpected(not_run(ErrorKind::kInvalidRequest,
                                   std::string("malformed event: ") + problem.what(),
-                                  "write one JSON object with time_us and event a line"));
+                                  "write one JSON object with time_us and event per line"));
   }
 }
 
--- a/src/history/json_lines.h
+++ b/src/history/json_lines.h
@@ -1,4 +1,4 @@
-// Histories as JSON Lines: one event a line, {"time_us", "event", ...fields}.
+// Reads and writes histories as JSON Lines: one event per line, {"time_us", "event", ...fields}.
 #pragma once
 
 #include <string>
@@ -9,13 +9,13 @@
 
 namespace chalkshed {
 
-// @return one line without its end.
+// @return one line without the trailing newline.
 std::string format_event(const Event& event);
 
 // Errors: kInvalidRequest for malformed lines and unknown events.
 Expected<Event> parse_event(std::string_view line);
 
-// Parses a whole file and orders its events by time. Errors name the line.
+// Parses a whole file and sorts its events by time. Errors contain the line number.
 Expected<History> parse_history(std::string_view content);
 
 }  // namespace chalkshed
--- a/tests/history/checker_test.cc
+++ b/tests/history/checker_test.cc
@@ -1,4 +1,4 @@
-// Each check must stay silent on a right history and catch a planted violation.
+// Each check must accept a correct history and report an injected violation.
 #include "src/history/checker.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
     at(begin, CallArrived{began.call});
     return at(end, std::move(ended));
   }
-  // Numbers violations of `guarantee`, and expects none of any other.
+  // @return the number of violations of `guarantee`; expects none of any other guarantee.
   size_t violations(Guarantee guarantee) {
     std::stable_sort(history_.begin(), history_.end(),
                      [](const Event& left, const Event& right) { return left.time < right.time; });
@@ -55,7 +55,7 @@
 const JobOutputLine kLineA{"a", "text a", "", "1"};
 const JobOutputLine kLineB{"b", "text b", "", "1"};
 
-TEST(ExactlyOnceCheck, AcceptsAWholeOutput) {
+TEST(ExactlyOnceCheck, AcceptsACompleteOutput) {
   HistoryBuilder builder = accepted_job();
   builder.at(90, Quiescent{}).at(100, JobOutput{"job-1", {kLineA, kLineB}, ""});
   EXPECT_EQ(builder.violations(Guarantee::kExactlyOnce), 0U);
@@ -79,7 +79,7 @@
   EXPECT_EQ(builder.violations(Guarantee::kExactlyOnce), 1U);
 }
 
-TEST(ExactlyOnceCheck, CatchesAResultThatVanishes) {
+TEST(ExactlyOnceCheck, CatchesAResultThatDisappears) {
   HistoryBuilder builder = accepted_job();
   builder.at(50, JobCancelRequested{"job-1"});
   builder.at(60, JobOutput{"job-1", {kLineA}, ""})
@@ -130,7 +130,7 @@
   return builder;
 }
 
-TEST(OnlineBeforeBatchCheck, AcceptsTheStepUnderWay) {
+TEST(OnlineBeforeBatchCheck, AcceptsTheStepInProgress) {
   EXPECT_EQ(waiting_online(6, 20).violations(Guarantee::kOnlineBeforeBatch), 0U);
 }
 
@@ -142,7 +142,7 @@
   EXPECT_EQ(waiting_online(12, 20).violations(Guarantee::kOnlineBeforeBatch), 1U);
 }
 
-TEST(OnlineBeforeBatchCheck, CatchesWaitingInsideTheNode) {
+TEST(OnlineBeforeBatchCheck, CatchesWaitingInTheNode) {
   HistoryBuilder builder;
   builder.call(0, 400, call_of("c1"), ended_with(CallOutcome::kComplete, "whole answer"));
   builder.at(200, RunSent{"node-1", "request c1"});
@@ -155,7 +155,7 @@
   return builder.violations(Guarantee::kWholeAnswers);
 }
 
-TEST(WholeAnswersCheck, TellsWholeFromTruncatedAndForeignAnswers) {
+TEST(WholeAnswersCheck, DistinguishesCompleteTruncatedAndWrongAnswers) {
   EXPECT_EQ(answer_violations(CallOutcome::kComplete, "whole answer"), 0U);
   EXPECT_EQ(answer_violations(CallOutcome::kComplete, "whole"), 1U);
   EXPECT_EQ(answer_violations(CallOutcome::kComplete, "another answer"), 1U);
@@ -163,7 +163,7 @@
   EXPECT_EQ(answer_violations(CallOutcome::kBroken, "whole whole"), 1U);
 }
 
-TEST(NotRunCheck, CatchesARefusalOfWhatRan) {
+TEST(NotRunCheck, CatchesAFalseNotRunReport) {
   HistoryBuilder builder;
   builder.call(0, 10, call_of("c1"), refused(true));
   EXPECT_EQ(builder.violations(Guarantee::kNotRunIsTrue), 0U);
@@ -192,7 +192,7 @@
   EXPECT_EQ(builder.violations(Guarantee::kLeavingGetsNoWork), 1U);
 }
 
-TEST(LeavingCheck, GivesANodeThatWasCutOffTheTimeToRejoin) {
+TEST(LeavingCheck, CountsTheGraceFromTheEndOfAPartition) {
   HistoryBuilder builder;
   builder.at(0, LeavingChanged{"engine-1", true, "node-1"});
   builder.at(0, FaultBegan{1, "cut_node", {"node-2"}}).at(5000, FaultEnded{1});
@@ -203,7 +203,7 @@
   EXPECT_EQ(builder.violations(Guarantee::kLeavingGetsNoWork), 2U);
 }
 
-TEST(LeavingCheck, ExcusesNothingByLostDatagramsOrTheStore) {
+TEST(LeavingCheck, DoesNotExtendTheGraceForLostDatagramsOrStoreOutages) {
   HistoryBuilder builder;
   builder.at(0, LeavingChanged{"engine-1", true, "node-1"});
   builder.at(0, FaultBegan{1, "datagram_faults", {"node-2"}})
@@ -244,13 +244,13 @@
   return builder;
 }
 
-TEST(ConfigurationCheck, AcceptsRisingVersions) {
+TEST(ConfigurationCheck, AcceptsIncreasingVersions) {
   HistoryBuilder builder = configured_node();
   builder.at(30, ConfigurationInForce{"node-1", 2, {"x", "y"}}).at(20000, Quiescent{});
   EXPECT_EQ(builder.violations(Guarantee::kConfigurationInForce), 0U);
 }
 
-TEST(ConfigurationCheck, CatchesAVersionGoingBack) {
+TEST(ConfigurationCheck, CatchesAVersionRollback) {
   HistoryBuilder builder = configured_node();
   builder.at(30, ConfigurationInForce{"node-1", 2, {"x", "y"}});
   builder.at(40, ConfigurationInForce{"node-1", 1, {"x"}});
@@ -269,7 +269,7 @@
   EXPECT_EQ(builder.violations(Guarantee::kConfigurationInForce), 1U);
 }
 
-TEST(ConfigurationCheck, CatchesAStartWithAReplacedVersion) {
+TEST(ConfigurationCheck, CatchesAStartWithASupersededVersion) {
   HistoryBuilder builder = configured_node();
   builder.at(30, ProcessStarted{"node-1", 2});
   builder.at(40, ConfigurationInForce{"node-1", 1, {"x"}});
--- a/tests/history/json_lines_test.cc
+++ b/tests/history/json_lines_test.cc
@@ -5,7 +5,7 @@
 namespace chalkshed {
 namespace {
 
-TEST(JsonLines, KeepsEveryFieldOfAnEvent) {
+TEST(JsonLines, RoundTripsEveryField) {
   const std::string line =
       format_event({MonotonicTime(Duration(42)),
                     CallBegan{"c1", "prompt \"x\"", "node-1", CallKind::kStream, true, "text"}});
@@ -16,7 +16,7 @@
   EXPECT_EQ(event->time, MonotonicTime(Duration(42)));
 }
 
-TEST(JsonLines, OrdersAHistoryByTime) {
+TEST(JsonLines, SortsAHistoryByTime) {
   const Expected<History> history = parse_history(
       "{\"time_us\":9,\"event\":\"quiescent\"}\n"
       "{\"time_us\":3,\"event\":\"job_accepted\",\"key\":\"k\",\"job\":\"j\"}\n");
@@ -25,14 +25,14 @@
   EXPECT_TRUE(std::holds_alternative<JobAccepted>(history->front().data));
 }
 
-TEST(JsonLines, NamesTheMalformedLine) {
+TEST(JsonLines, ReportsTheMalformedLine) {
   const Expected<History> history =
       parse_history("{\"time_us\":9,\"event\":\"quiescent\"}\n{\"time_us\":9}\n");
   ASSERT_FALSE(history);
   EXPECT_TRUE(history.error().message.starts_with("line 2"));
 }
 
-TEST(JsonLines, RefusesUnknownEvents) {
+TEST(JsonLines, RejectsUnknownEvents) {
   EXPECT_FALSE(parse_event("{\"time_us\":9,\"event\":\"nonsense\"}"));
 }
 
