--- a/apps/chalkshed_bench_main.cc
+++ b/apps/chalkshed_bench_main.cc
@@ -1,4 +1,4 @@
-// chalkshed-bench: replays seeded traces with and without batch and prints what was measured.
+// chalkshed-bench: replays seeded traces with and without batch work and prints the measurements.
 #include <docopt/docopt.h>
 
 #include <fstream>
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr const char* kUsage = R"(chalkshed-bench: replays seeded traces of the two reference
-deployments with and without batch, and with simpler ways in place of the product's.
+deployments with and without batch work, and with simpler algorithms for comparison.
 
 Usage:
   chalkshed-bench [--seed=<number>] [--traces=<count>] [--seconds=<number>]
@@ -23,25 +23,26 @@
   chalkshed-bench --help
 
 Options:
-  --seed=<number>      Seed of the trace and of all choices [default: 1].
-  --traces=<count>     Traces of the main runs, put together [default: 4].
+  --seed=<number>      Seed of the trace and of all random choices [default: 1].
+  --traces=<count>     Number of traces whose results are merged [default: 4].
   --seconds=<number>   Length of the trace in virtual time [default: 60].
-  --deployment=<name>  Only this one: 12 or 18 (workers).
-  --brief              Only without and with batch.
-  --json=<file>        Write the results there.
-  --set=<assignment>   Knob of all runs, as name=number; see bench/knob_overrides.cc.
-  live                 Measure processes that run: prints one JSON object.
+  --deployment=<name>  Run only this deployment, by its number of workers: 12 or 18.
+  --brief              Run only the variants without and with batch work.
+  --json=<file>        Write the results to this file.
+  --set=<assignment>   Override a parameter of all runs, as name=number; see
+                       bench/knob_overrides.cc.
+  live                 Measure running processes and print one JSON object.
   --node=<ip:port>     Node to measure.
-  --worker=<ip:port>   Engine, for requests straight to it.
-  --model=<name>       Model to ask for.
-  --service=<name>     Plain service to ping.
+  --worker=<ip:port>   Engine to send requests to directly.
+  --model=<name>       Model to request.
+  --service=<name>     Plain service whose latency is measured.
   --online-key=<key>   API key of a tenant without limits.
-  --batch-key=<key>    API key of the tenant that sends batches.
-  --node-process=<pid> Process of the node, for its CPU time [default: 0].
+  --batch-key=<key>    API key of the tenant that submits batches.
+  --node-process=<pid> Process id of the node, for its CPU time [default: 0].
   --help               Show this text.
 )";
 
-// Seeds of the traces of one run are this many times the run's seed, and those behind it.
+// Trace i of a run has the seed kSeedStride * (seed of the run) + i.
 constexpr uint64_t kSeedStride = 1000;
 
 struct Options {
--- a/apps/chalkshed_choice_bench_main.cc
+++ b/apps/chalkshed_choice_bench_main.cc
@@ -1,10 +1,10 @@
-// chalkshed-choice-bench: what a load that a peer tells, and the choice of a worker, cost a node by
-// the number of workers. Prints one JSON line a size.
+// chalkshed-choice-bench: CPU time that a node spends per load report of a peer and per choice of a
+// worker, as a function of the number of workers. Prints one JSON line per number of workers.
 //
-// Measured on one machine in one run, while loads were summed over all workers for each that a peer
-// reported, and with the counts that are kept: 331, 3,858, 14,681 and 121,731 ns a load at 100,
-// 1,000, 3,000 and 10,000 workers, and 38, 98, 136 and 149 ns; 4.7, 50, 153 and 710 us a choice,
-// and 3.7, 34, 89 and 292 us.
+// Measured on one machine in one run, at 100, 1,000, 3,000 and 10,000 workers. Summing the loads of
+// all workers for each reported load took 331, 3,858, 14,681 and 121,731 ns per load report
+// and 4.7, 50, 153 and 710 us per choice; incrementally maintained counts take 38, 98, 136 and 149
+// ns, and 3.7, 34, 89 and 292 us.
 #include <chrono>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -18,10 +18,10 @@
 constexpr int kRounds = 2000;
 constexpr uint32_t kSlots = 8;
 
-WorkerRecord record_of(int number) {
+WorkerRecord make_record(int number) {
   WorkerRecord record;
   record.incarnation = "i-" + std::to_string(number);
-  // A plain service beside the engines, and three zones, as deployments have them.
+  // A plain service beside the engines, and three zones, as in real deployments.
   record.service = number % 10 == 0 ? "plain" : "engines";
   record.zone = "zone-" + std::to_string(number % 3);
   record.address = {"10.0.0.1", 80};
@@ -29,7 +29,7 @@
   return record;
 }
 
-// @return nanoseconds that one call takes, in the mean.
+// @return mean duration of one call in nanoseconds.
 double time_calls(const std::function<void(int)>& call) {
   const auto began = std::chrono::steady_clock::now();
   for (int round = 0; round < kRounds; ++round) {
@@ -45,7 +45,7 @@
   WorkerSet workers(clock, random, "zone-0");
   std::vector<uint64_t> hashes;
   for (int number = 0; number < worker_count; ++number) {
-    const WorkerRecord record = record_of(number);
+    const WorkerRecord record = make_record(number);
     workers.update(record);
     hashes.push_back(workers.find(record.incarnation)->hash);
   }
@@ -55,9 +55,9 @@
     workers.add_peer_load(worker, 1, 0);
     workers.add_peer_load(worker, -1, 0);
   });
-  PlaceRequest wanted;
-  wanted.service = "engines";
-  const double choice = time_calls([&](int /*round*/) { workers.take_place(wanted); });
+  PlaceRequest request;
+  request.service = "engines";
+  const double choice = time_calls([&](int /*round*/) { workers.take_place(request); });
   std::cout << nlohmann::json{{"workers", worker_count},
                               {"load_ns", load / 2},
                               {"choice_ns", choice}}
--- a/apps/chalkshed_configuration_bench_main.cc
+++ b/apps/chalkshed_configuration_bench_main.cc
@@ -1,4 +1,5 @@
-// chalkshed-configuration-bench: experiments behind docs/design/configuration.md and policies.md.
+// chalkshed-configuration-bench: measurements cited in docs/design/configuration.md and
+// policies.md.
 #include <docopt/docopt.h>
 
 #include <chrono>
@@ -11,7 +12,7 @@
 namespace chalkshed {
 namespace {
 
-constexpr const char* kUsage = R"(chalkshed-configuration-bench: experiments with configuration and
+constexpr const char* kUsage = R"(chalkshed-configuration-bench: measures configuration traffic and
 policies.
 
 Usage:
@@ -20,12 +21,12 @@
   chalkshed-configuration-bench policy <file> [--decisions=<n>]
 
 Options:
-  --buckets=<n>               Blocks that the tenants are spread over [default: 64].
+  --buckets=<n>               Buckets that the tenants are divided into [default: 64].
   --nodes=<n>                 Nodes of the simulated cluster [default: 9].
-  --changes=<n>               Changes in a day [default: 2300].
-  --tenant-changes=<percent>  Share of changes to one tenant; 10 of a hundred change a service, the
-                              rest a policy [default: 85].
-  --seed=<n>                  Seed of the changes [default: 1].
+  --changes=<n>               Changes per day [default: 2300].
+  --tenant-changes=<percent>  Percentage of changes to a single tenant; 10 percent change a
+                              service and the rest a policy [default: 85].
+  --seed=<n>                  Random seed of the changes [default: 1].
   --decisions=<n>             Decisions to time [default: 200000].
 )";
 
--- a/apps/chalkshed_emulator_main.cc
+++ b/apps/chalkshed_emulator_main.cc
@@ -1,4 +1,4 @@
-// chalkshed-emulator: emulated workers, back ends and platform on loopback, in one process.
+// chalkshed-emulator: runs emulated workers, back ends and platform services in one process.
 #include <docopt/docopt.h>
 
 #include <csignal>
@@ -11,8 +11,8 @@
 namespace chalkshed {
 namespace {
 
-constexpr const char* kUsage = R"(chalkshed-emulator: emulated model workers, plain back ends and
-platform (table, objects, machine list) for development and tests.
+constexpr const char* kUsage = R"(chalkshed-emulator: emulates model workers, plain back ends and
+platform services (table, objects, machine list) for development and tests.
 
 Usage:
   chalkshed-emulator --settings=<file> [--check]
@@ -24,19 +24,22 @@
 Options:
   --settings=<file>         TOML settings; see docs/operators/emulator.md.
   --check                   Check the settings and exit.
-  --control=<ip:port>       Address of the platform and of /faults [default: 127.0.0.1:7300].
-  --workers=<count>         Model workers [default: 3].
-  --first-port=<port>       First worker's port; back ends follow behind [default: 7400].
+  --control=<ip:port>       Address of the platform services and of /faults
+                            [default: 127.0.0.1:7300].
+  --workers=<count>         Number of model workers [default: 3].
+  --first-port=<port>       Port of the first worker; the back ends use the ports after
+                            those of the workers [default: 7400].
   --service=<name>          Service of the workers [default: lm].
-  --models=<names>          Models loaded, separated by commas; any name when empty [default: ].
-  --backends=<count>        Plain back ends [default: 0].
+  --models=<names>          Comma-separated loaded models; empty: accept any name
+                            [default: ].
+  --backends=<count>        Number of plain back ends [default: 0].
   --backend-service=<name>  Service of the back ends [default: plain].
-  --zones=<names>           Zones, separated by commas [default: zone-1,zone-2,zone-3].
-  --seed=<number>           Seed of all randomness [default: 1].
+  --zones=<names>           Comma-separated zones [default: zone-1,zone-2,zone-3].
+  --seed=<number>           Random seed [default: 1].
   --help                    Show this text.
 )";
 
-std::vector<std::string> split(const std::string& text) {
+std::vector<std::string> split_commas(const std::string& text) {
   std::vector<std::string> parts;
   std::istringstream stream(text);
   for (std::string part; std::getline(stream, part, ',');) {
@@ -47,15 +50,15 @@
 
 using Arguments = std::map<std::string, docopt::value>;
 
-FleetSettings settings_of_flags(const Arguments& arguments) {
+FleetSettings settings_from_flags(const Arguments& arguments) {
   FleetSettings settings;
   settings.control = decode_address(arguments.at("--control").asString());
   settings.seed = static_cast<uint64_t>(arguments.at("--seed").asLong());
-  settings.engine.models = split(arguments.at("--models").asString());
+  settings.engine.models = split_commas(arguments.at("--models").asString());
   MachineGroup workers;
   workers.service = arguments.at("--service").asString();
   workers.count = static_cast<uint32_t>(arguments.at("--workers").asLong());
-  workers.zones = split(arguments.at("--zones").asString());
+  workers.zones = split_commas(arguments.at("--zones").asString());
   workers.first_address = {settings.control.ip,
                            static_cast<uint16_t>(arguments.at("--first-port").asLong())};
   MachineGroup backends = workers;
@@ -84,7 +87,7 @@
   if (arguments.at("--settings")) {
     settings = load_fleet_settings(arguments.at("--settings").asString());
   } else {
-    settings = settings_of_flags(arguments);
+    settings = settings_from_flags(arguments);
   }
   if (!settings) {
     std::cerr << "chalkshed-emulator: " << settings.error().message << "; "
--- a/apps/chalkshed_explain_main.cc
+++ b/apps/chalkshed_explain_main.cc
@@ -1,4 +1,5 @@
-// chalkshed-explain: one timeline of a request, a job or a worker from the logs of several nodes.
+// chalkshed-explain: builds a timeline of a request, a job or a worker from the logs of several
+// nodes.
 #include <docopt/docopt.h>
 
 #include <fstream>
@@ -9,12 +10,13 @@
 namespace chalkshed {
 namespace {
 
-constexpr const char* kUsage = R"(chalkshed-explain: what happened to a request, a job or a worker.
+constexpr const char* kUsage =
+    R"(chalkshed-explain: shows what happened to a request, a job or a worker.
 
-Reads structured logs of any number of nodes (files, or standard input without any) and prints, in
-order of time, the lines that name the id (marked *), and around them what the nodes concerned
-learned of the store, the configuration, other nodes and the workers asked. The first line tells who
-had sent what a back end saw under the id.
+Reads the structured logs of any number of nodes (from files, or from standard input if none is
+given). Prints, in order of time, the lines that contain the id (marked *) and the surrounding log
+lines of the same nodes about the store, the configuration, other nodes and the workers involved.
+The first line names the sender of the request that a back end received under the id.
 See docs/OPERATIONS.md.
 
 Usage:
@@ -23,7 +25,7 @@
   chalkshed-explain --version
 
 Options:
-  --json     One JSON object a line.
+  --json     Print one JSON object per line.
   --version  Show the version.
   --help     Show this text.
 )";
@@ -45,7 +47,8 @@
   for (const std::string& path : arguments.at("<log>").asStringList()) {
     std::ifstream file(path);
     if (!file) {
-      std::cerr << "chalkshed-explain: cannot read " << path << "; check its name and rights\n";
+      std::cerr << "chalkshed-explain: cannot read " << path
+                << "; check its name and permissions\n";
       return kExitUnreadable;
     }
     read_lines(file, lines);
@@ -57,7 +60,7 @@
   const std::vector<LogLine> timeline = make_timeline(lines, id);
   if (timeline.empty()) {
     std::cerr << "chalkshed-explain: " << describe_origin(lines, id)
-              << "; give the logs of all nodes, from before it was sent\n";
+              << "; pass the logs of all nodes, starting before the request was sent\n";
     return kExitNothingFound;
   }
   if (arguments.at("--json").asBool()) {
--- a/apps/chalkshed_history_main.cc
+++ b/apps/chalkshed_history_main.cc
@@ -1,4 +1,4 @@
-// Checks recorded histories (JSON Lines files) against the product's guarantees.
+// chalkshed-history: checks recorded histories (JSON Lines files) against the serving guarantees.
 #include <docopt.h>
 
 #include <fstream>
@@ -12,13 +12,14 @@
 namespace chalkshed {
 namespace {
 
-constexpr char kUsage[] = R"(Checks recorded histories against the guarantees.
+constexpr char kUsage[] = R"(Checks recorded histories against the serving guarantees.
 
-All files together are one history; events are ordered by time. Violations are printed one a line,
-the counts as a JSON object last. Exit status: 0 no violation, 1 violations, 2 unreadable input.
+All files together form one history, sorted by time. Prints one violation per line, and the
+counts as a JSON object on the last line. Exit status: 0 no violation, 1 violations, 2 unreadable
+input.
 
-With --answers it reads JSON objects {"model", "prompt", "max_tokens"} from standard input, one a
-line, and prints the whole answer of the emulated engines to each as a JSON string.
+With --answers, reads JSON objects {"model", "prompt", "max_tokens"} from standard input, one per
+line, and prints the complete answer of the emulated engines to each as a JSON string.
 
 Usage:
   chalkshed-history <file>...
@@ -31,7 +32,7 @@
   for (const std::string& file : files) {
     std::ifstream stream(file);
     if (!stream) {
-      std::cerr << "cannot read " << file << ": name an existing JSON Lines file\n";
+      std::cerr << "cannot read " << file << "; pass an existing JSON Lines file\n";
       return 2;
     }
     content += std::string(std::istreambuf_iterator<char>(stream), {});
--- a/apps/chalkshed_scale_main.cc
+++ b/apps/chalkshed_scale_main.cc
@@ -1,4 +1,4 @@
-// chalkshed-scale: many hollow nodes in one process, for scripts/scale.
+// chalkshed-scale: runs many hollow nodes in one process, for scripts/scale.
 #include <docopt/docopt.h>
 
 #include <csignal>
@@ -10,8 +10,9 @@
 namespace chalkshed {
 namespace {
 
-constexpr const char* kUsage = R"(chalkshed-scale: many hollow nodes in one process. Each runs all
-roles of a node over real sockets, on its own loopback address. scripts/scale drives it.
+constexpr const char* kUsage =
+    R"(chalkshed-scale: runs many hollow nodes in one process. Each performs all
+roles of a node over real sockets, on its own loopback address. Controlled by scripts/scale.
 
 Usage:
   chalkshed-scale --platform=<ip:port> --control=<ip:port> [--first=<index>] [--count=<count>]
@@ -19,19 +20,19 @@
   chalkshed-scale --help
 
 Options:
-  --platform=<ip:port>  Address of the platform's services.
-  --control=<ip:port>   Address of the interface to this process.
-  --first=<index>       Number of the first node over all processes [default: 0].
-  --count=<count>       Nodes in this process [default: 60].
-  --regions=<count>     Regions the nodes are spread over [default: 8].
-  --zones=<count>       Zones the nodes are spread over [default: 17].
+  --platform=<ip:port>  Address of the platform services.
+  --control=<ip:port>   Address of the control interface of this process.
+  --first=<index>       Index of the first node, unique across processes [default: 0].
+  --count=<count>       Number of nodes in this process [default: 60].
+  --regions=<count>     Number of regions, assigned round-robin [default: 8].
+  --zones=<count>       Number of zones, assigned round-robin [default: 17].
   --port=<port>         UDP and TCP port of every node [default: 7600].
   --help                Show this text.
 )";
 
 using Arguments = std::map<std::string, docopt::value>;
 
-Address address_of(const Arguments& arguments, const std::string& flag) {
+Address parse_address_flag(const Arguments& arguments, const std::string& flag) {
   const std::string text = arguments.at(flag).asString();
   const std::optional<Address> address = parse_numeric_address(text);
   if (!address) {
@@ -46,8 +47,8 @@
 
 int run(const Arguments& arguments) {
   HollowSettings settings;
-  settings.platform = address_of(arguments, "--platform");
-  settings.control = address_of(arguments, "--control");
+  settings.platform = parse_address_flag(arguments, "--platform");
+  settings.control = parse_address_flag(arguments, "--control");
   settings.first_index = number_of(arguments, "--first");
   settings.count = number_of(arguments, "--count");
   settings.regions = std::max(1U, number_of(arguments, "--regions"));
--- a/apps/chalkshed_sim_main.cc
+++ b/apps/chalkshed_sim_main.cc
@@ -1,4 +1,4 @@
-// Proves the guarantees over simulated clusters under random faults.
+// chalkshed-sim: checks the serving guarantees on simulated clusters under random faults.
 #include <docopt.h>
 
 #include <iostream>
@@ -10,7 +10,8 @@
 namespace chalkshed {
 namespace {
 
-constexpr char kUsage[] = R"(Runs simulated clusters under random faults and checks the guarantees.
+constexpr char kUsage[] =
+    R"(Runs simulated clusters under random faults and checks the serving guarantees.
 
 Usage:
   chalkshed-sim --seeds <n> [--first-seed <k>] [--threads <t>] [--disable <safeguard>] [--no-proofs]
@@ -19,17 +20,18 @@
   chalkshed-sim (-h | --help)
 
 Options:
-  --seeds <n>            Number of seeds to run; then each guarantee is proved to fail with its
-                         mechanism switched off.
+  --seeds <n>            Number of seeds to run; afterwards verify that each guarantee fails
+                         when its safeguard is disabled.
   --first-seed <k>       First seed [default: 1].
-  --threads <t>          Seeds run at a time; 0: one for each core [default: 0].
-  --no-proofs            Leave the proofs out.
-  --seed <k>             Run one seed alone.
-  --print-history        Print its history as JSON Lines.
-  --disable <safeguard>  Switch this mechanism off.
-  --list-safeguards      Print the names of the mechanisms and their guarantees.
+  --threads <t>          Number of seeds to run in parallel; 0: one per core [default: 0].
+  --no-proofs            Skip the runs with disabled safeguards.
+  --seed <k>             Run a single seed.
+  --print-history        Print the history of the run as JSON Lines.
+  --disable <safeguard>  Disable this safeguard.
+  --list-safeguards      Print the names of the safeguards and their guarantees.
 
-The last line is a JSON object. Exit status: 0 no violation and every proof seen to fail, else 1.
+The last line is a JSON object. Exit status: 0 if there was no violation and every guarantee
+failed without its safeguard, else 1.
 )";
 
 constexpr size_t kShownViolations = 5;
@@ -72,7 +74,8 @@
   return result.check.violation_count() == 0 ? 0 : 1;
 }
 
-// @return whether every proof succeeded; writes the outcome for each guarantee.
+// Runs the proofs and adds the outcome of each guarantee to `guarantees`.
+// @return whether every proof succeeded.
 bool add_proofs(uint32_t threads, nlohmann::json& guarantees) {
   bool all = true;
   std::array<bool, kGuaranteeCount> fails{};
--- a/apps/chalkshedctl_main.cc
+++ b/apps/chalkshedctl_main.cc
@@ -1,4 +1,4 @@
-// chalkshedctl: the operators' tool.
+// chalkshedctl: the command-line tool for operators.
 #include <pwd.h>
 #include <unistd.h>
 
--- a/apps/chalkshedd_main.cc
+++ b/apps/chalkshedd_main.cc
@@ -29,7 +29,7 @@
   chalkshedd [options]
 
 Options:
-  --settings=<file>     TOML settings; see docs/operators/daemon.md. Flags win over the file.
+  --settings=<file>     TOML settings; see docs/operators/daemon.md. Flags override the file.
   --id=<name>           Name of this node, unique in the cluster.
   --zone=<name>         Zone of this node.
   --region=<name>       Region of this node.
@@ -51,24 +51,24 @@
 
 using Arguments = std::map<std::string, docopt::value>;
 
-struct FlagOfField {
+struct FlagField {
   const char* flag;
   const char* field;
 };
-constexpr std::array<FlagOfField, 10> kFlags = {{{"--id", "id"},
-                                                 {"--zone", "zone"},
-                                                 {"--region", "region"},
-                                                 {"--http", "listen.http"},
-                                                 {"--peer", "listen.peer"},
-                                                 {"--table", "platform.table"},
-                                                 {"--objects", "platform.objects"},
-                                                 {"--machines", "platform.machines"},
-                                                 {"--log-level", "log.level"},
-                                                 {"--log-format", "log.format"}}};
+constexpr std::array<FlagField, 10> kFlags = {{{"--id", "id"},
+                                               {"--zone", "zone"},
+                                               {"--region", "region"},
+                                               {"--http", "listen.http"},
+                                               {"--peer", "listen.peer"},
+                                               {"--table", "platform.table"},
+                                               {"--objects", "platform.objects"},
+                                               {"--machines", "platform.machines"},
+                                               {"--log-level", "log.level"},
+                                               {"--log-format", "log.format"}}};
 
 SettingsOverrides overrides_of(const Arguments& arguments) {
   SettingsOverrides overrides;
-  for (const FlagOfField& entry : kFlags) {
+  for (const FlagField& entry : kFlags) {
     const docopt::value& value = arguments.at(entry.flag);
     if (value) {
       overrides[entry.field] = value.asString();
@@ -99,7 +99,7 @@
   return (static_cast<uint64_t>(device()) << 32U) | device();
 }
 
-// The process around a node: its sockets, adapters and signals.
+// Runs one node in a process: owns its sockets, adapters and signal handlers.
 class Daemon {
  public:
   explicit Daemon(const Settings& settings)
@@ -125,7 +125,7 @@
                  .max_body_bytes = settings.limits.max_body_bytes,
                  .idle_timeout = settings.limits.idle_timeout}),
         exit_timer_(dispatcher_.create_timer([this] { exit_when_sent(); })),
-        drain_timeout_(dispatcher_.create_timer([this] { give_up_drain(); })) {
+        drain_timeout_(dispatcher_.create_timer([this] { abort_drain(); })) {
     paths_.add("", node_);
     paths_.add("/peer", peer_server_);
   }
@@ -147,7 +147,7 @@
   }
 
  private:
-  // The first signal begins a planned stop, a second one ends the process at once.
+  // The first signal starts a graceful shutdown; a second one exits immediately.
   void on_signal() {
     if (std::exchange(signalled_, true)) {
       _exit(kExitSecondSignal);
@@ -156,7 +156,7 @@
     node_.begin_drain([this] { exit_when_sent(); });
   }
 
-  // The node is done; what it answered last must still leave the process.
+  // Waits until the last responses have been sent after the node has drained.
   void exit_when_sent() {
     if (server_.requests_in_progress() > 0) {
       exit_timer_->enable(kExitPollInterval);
@@ -165,7 +165,7 @@
     dispatcher_.stop();
   }
 
-  void give_up_drain() {
+  void abort_drain() {
     logger_.write(LogLevel::kError, "drain_timed_out",
                   {{"requests_in_progress", std::to_string(server_.requests_in_progress())},
                    {"remedy", "raise limits.drain_timeout_seconds"}});
@@ -223,7 +223,7 @@
 }  // namespace chalkshed
 
 int main(int argc, char** argv) {
-  // A caller that goes away must not end the process.
+  // Writing to a connection closed by the caller must not terminate the process.
   std::signal(SIGPIPE, SIG_IGN);
   try {
     const std::vector<std::string> words(argv + 1, argv + argc);
