--- a/emulator/answer_model.h
+++ b/emulator/answer_model.h
@@ -1,5 +1,5 @@
-// The deterministic "language model" of the emulated engines: the answer depends only on the model
-// and the prompt, so that a checker can verify a whole answer without having seen it before.
+// Deterministic language model of the emulated engines. The answer depends only on the model and
+// the prompt, so that a checker can verify a complete answer without a recorded reference.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace chalkshed {
 
-// @return the engine's count of prompt tokens: one for every four bytes, at least one.
+// @return the engine's number of prompt tokens: one per four bytes, rounded up, and at least one.
 uint32_t count_prompt_tokens(std::string_view prompt);
 
 // @return hashes of the prompt's full blocks; each covers the whole prefix up to its end.
@@ -19,7 +19,7 @@
 // @return hash that, with an index, determines each answer token.
 uint64_t answer_seed(std::string_view model, std::string_view prompt);
 
-// @return tokens of the whole answer when max_tokens does not cut it (16 to 127).
+// @return number of tokens of the answer if max_tokens does not limit it (16 to 127).
 uint32_t natural_answer_length(uint64_t seed);
 
 // @return the answer token at `index`: a word with a leading space, or a full stop.
--- a/emulator/backend_handler.cc
+++ b/emulator/backend_handler.cc
@@ -26,7 +26,7 @@
 void BackendHandler::handle(HttpRequest request, ResponseWriterPtr writer) {
   ++in_progress_;
   const bool is_work = request.path != "/load";
-  const std::string attempt = std::to_string(++taken_);
+  const std::string attempt = std::to_string(++received_);
   if (is_work) {
     recorder_.arrived(attempt, request.body, false, 0);
   }
--- a/emulator/backend_handler.h
+++ b/emulator/backend_handler.h
@@ -1,5 +1,5 @@
-// A plain back end: after a small latency it answers every request with its own name and what it
-// received, and reports its load in a header.
+// A plain back end. After a configurable latency it responds to every request with its own name and
+// the received request, and reports its load in a header.
 #pragma once
 
 #include <string>
@@ -29,7 +29,7 @@
   BackendSettings settings_;
   bool leaving_ = false;
   RunRecorder recorder_;
-  uint64_t taken_ = 0;
+  uint64_t received_ = 0;
   uint64_t served_ = 0;
   uint64_t in_progress_ = 0;
   DelayedCalls calls_;
--- a/emulator/block_cache.cc
+++ b/emulator/block_cache.cc
@@ -26,7 +26,7 @@
 }
 
 void BlockCache::unpin(const std::vector<uint64_t>& hashes, uint32_t count) {
-  // From the end, so that the head of a prefix is evicted last.
+  // Unpins from the end, so that the first block of a prefix is evicted last.
   for (uint32_t index = count; index > 0; --index) {
     const uint64_t hash = hashes[index - 1];
     Block& block = blocks_.at(hash);
--- a/emulator/block_cache.h
+++ b/emulator/block_cache.h
@@ -1,5 +1,5 @@
-// KV memory of one emulated engine: a fixed number of blocks, shared between private blocks of
-// running sequences and blocks of prompt prefixes that stay cached after their sequence.
+// KV memory of one emulated engine: a fixed number of blocks, divided between private blocks of
+// running sequences and prompt prefix blocks that remain cached after their sequence has ended.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace chalkshed {
 
-// One change of the set of cached prefix blocks.
+// An addition to or removal from the set of cached prefix blocks.
 struct CacheChange {
   uint64_t block_hash = 0;
   bool added = false;
@@ -19,23 +19,23 @@
  public:
   explicit BlockCache(uint32_t total_blocks) : total_(total_blocks) {}
 
-  // @return how many of the leading blocks are cached.
+  // @return the number of leading blocks that are cached.
   uint32_t cached_prefix(const std::vector<uint64_t>& hashes) const;
   // Takes references on the first `count` blocks of `hashes`; all must be cached.
   void pin(const std::vector<uint64_t>& hashes, uint32_t count);
   void unpin(const std::vector<uint64_t>& hashes, uint32_t count);
-  // Takes private blocks, evicting cached blocks that nobody uses.
-  // @return whether there was room; nothing is taken otherwise.
+  // Allocates private blocks, evicting unreferenced cached blocks in LRU order.
+  // @return whether there was enough space; otherwise nothing is allocated.
   bool allocate(uint32_t blocks);
   void free(uint32_t blocks) { private_blocks_ -= blocks; }
-  // Turns private blocks into cached, pinned blocks of the prefix hashes[from, to). Blocks that are
-  // cached already are pinned and the private one is freed.
+  // Converts private blocks to cached, pinned blocks of the prefix hashes[from, to). If a block is
+  // already cached, the cached one is pinned and the private one is freed.
   void publish(const std::vector<uint64_t>& hashes, uint32_t from, uint32_t to);
 
   uint32_t total() const { return total_; }
   // Blocks in use by sequences.
   uint32_t used() const { return private_blocks_ + pinned_; }
-  // Cached blocks whether in use or not.
+  // Cached blocks, referenced or not.
   size_t cached() const { return blocks_.size(); }
   void clear();
   std::vector<CacheChange> take_changes() { return std::exchange(changes_, {}); }
--- a/emulator/delayed_calls.cc
+++ b/emulator/delayed_calls.cc
@@ -23,7 +23,7 @@
 
 void DelayedCalls::run_due() {
   const MonotonicTime now = time_source_.monotonic_now();
-  // The calls due are taken out first: one of them may destroy this object.
+  // Removes all due calls first, because one of them may destroy this object.
   std::vector<std::function<void()>> due;
   while (!calls_.empty() && calls_.begin()->first.first <= now) {
     due.push_back(std::move(calls_.begin()->second));
--- a/emulator/delayed_calls.h
+++ b/emulator/delayed_calls.h
@@ -1,4 +1,4 @@
-// Calls that come due later on one dispatcher, in order of their time, over a single timer.
+// Schedules delayed calls on one dispatcher, in order of their due times, with a single timer.
 #pragma once
 
 #include <functional>
@@ -10,11 +10,11 @@
 
 namespace chalkshed {
 
-// Destroying it drops the calls that have not come due.
+// The destructor drops calls that are not due yet.
 class DelayedCalls {
  public:
   DelayedCalls(const TimeSource& time_source, Dispatcher& dispatcher);
-  // Runs `call` after `delay`, never inside this call. Calls due at one instant keep their order.
+  // Runs `call` after `delay`, never synchronously. Calls with equal due times keep their order.
   void add(Duration delay, std::function<void()> call);
   size_t pending() const { return calls_.size(); }
 
--- a/emulator/emulated_platform.cc
+++ b/emulator/emulated_platform.cc
@@ -30,7 +30,7 @@
   }
   ++counters.rate_limited;
   Error error = not_run(ErrorKind::kStoreUnavailable, "the store's rate limit is reached",
-                        "resend after the time given");
+                        "resend after the given time");
   const double wait_seconds = (1 - tokens_) / faults.operations_per_second;
   error.retry_after = Duration(static_cast<int64_t>(std::ceil(wait_seconds * 1e6)));
   return error;
@@ -43,7 +43,7 @@
   return Duration(static_cast<int64_t>(latency * faults.slowness));
 }
 
-bool EmulatedService::loses_answer() {
+bool EmulatedService::loses_response() {
   if (faults.lost_answer_probability <= 0 || random_.unit() >= faults.lost_answer_probability) {
     return false;
   }
@@ -85,10 +85,10 @@
 
 namespace {
 
-tl::unexpected<Error> lost_answer(bool changes) {
+tl::unexpected<Error> lost_response(bool changes) {
   const ErrorKind kind = changes ? ErrorKind::kOutcomeUnknown : ErrorKind::kStoreUnavailable;
-  return tl::unexpected(maybe_run(kind, "the store's answer did not arrive in time",
-                                  "read back to learn whether the change was made"));
+  return tl::unexpected(maybe_run(kind, "the store did not respond in time",
+                                  "read back to determine whether the change was applied"));
 }
 
 }  // namespace
@@ -105,26 +105,26 @@
     return;
   }
   const Duration request_latency = service_.one_way_latency();
-  const bool given_up = request_latency > timeout;
-  if (given_up) {
-    // The caller gives up before the request arrives; it still takes effect later.
-    state_->answers.add(timeout, [changes, callback] { callback(lost_answer(changes)); });
+  const bool timed_out = request_latency > timeout;
+  if (timed_out) {
+    // The caller times out before the request arrives; the request still takes effect later.
+    state_->answers.add(timeout, [changes, callback] { callback(lost_response(changes)); });
   }
   platform_.calls().add(
       request_latency,
-      [this_state = std::weak_ptr(state_), changes, timeout, request_latency, given_up,
+      [this_state = std::weak_ptr(state_), changes, timeout, request_latency, timed_out,
        &service = service_, operation = std::move(operation), callback = std::move(callback)] {
         const std::optional<Error> refusal = service.refusal();
         Expected<Value> answer = refusal ? tl::unexpected(*refusal) : operation();
-        const bool lost = !refusal && service.loses_answer();
+        const bool lost = !refusal && service.loses_response();
         Duration answer_latency = service.one_way_latency();
         const std::shared_ptr<State> state = this_state.lock();
-        if (!state || given_up) {
+        if (!state || timed_out) {
           return;
         }
         if (lost || !state->reachable || request_latency + answer_latency > timeout) {
           answer_latency = timeout - request_latency;
-          answer = lost_answer(changes);
+          answer = lost_response(changes);
         }
         state->answers.add(answer_latency, [callback, answer = std::move(answer)]() mutable {
           callback(std::move(answer));
@@ -185,7 +185,7 @@
         const auto found = platform.objects().find(name);
         if (found == platform.objects().end()) {
           return tl::unexpected(not_run(ErrorKind::kNotFound, "no object named " + name,
-                                        "check the name; removed objects do not come back"));
+                                        "check the name and whether the object was removed"));
         }
         return found->second;
       },
--- a/emulator/emulated_platform.h
+++ b/emulator/emulated_platform.h
@@ -1,6 +1,6 @@
-// The platform's services in memory, with faults: transactional table, object store and machine
-// list. One EmulatedPlatform holds the content; every node has its own client objects, so that one
-// node's access can be cut. Deterministic: time and randomness are injected.
+// In-memory platform services with fault injection: transactional table, object store and machine
+// list. One EmulatedPlatform holds the data; every node has its own client objects, so that a
+// single node can be partitioned. Deterministic: time and randomness are injected.
 #pragma once
 
 #include <deque>
@@ -18,25 +18,25 @@
 
 namespace chalkshed {
 
-// Behaviour of one service; may be changed while it runs.
+// Injected faults of one service; may be changed while it runs.
 struct ServiceFaults {
-  Duration base_latency = std::chrono::milliseconds(2);  // whole round trip
-  Duration latency_jitter{0};                            // added uniformly, each way
-  double slowness = 1.0;                                 // multiplies the latency
-  bool outage = false;                                   // connections are refused
-  // Probability that a change is applied and its answer lost.
+  Duration base_latency = std::chrono::milliseconds(2);  // round trip
+  Duration latency_jitter{0};  // uniformly distributed, added in each direction
+  double slowness = 1.0;       // multiplies the latency
+  bool outage = false;         // connections are refused
+  // Probability that a change is applied but its response is lost.
   double lost_answer_probability = 0;
-  // When a caller gives up on an answer.
+  // Time after which a caller stops waiting for a response.
   Duration answer_timeout = std::chrono::seconds(2);
   double operations_per_second = 0;  // rate limit; 0: none
-  double operation_burst = 100;      // size of the rate limit's bucket
+  double operation_burst = 100;      // token bucket capacity of the rate limit
 };
 
-// Operations that reached a service, by outcome.
+// Operations received by a service, by outcome.
 struct ServiceCounters {
   uint64_t served = 0;
   uint64_t rate_limited = 0;
-  uint64_t refused = 0;  // by an outage
+  uint64_t refused = 0;  // because of an outage
   uint64_t answers_lost = 0;
 };
 
@@ -49,12 +49,12 @@
   ServiceFaults faults;
   ServiceCounters counters;
 
-  // @return the error with which the service refuses an operation now, if it does.
+  // @return the error if the service refuses an operation now.
   std::optional<Error> refusal();
   // @return delay of one direction of a call.
   Duration one_way_latency();
-  // @return whether the answer of a change that was just applied gets lost.
-  bool loses_answer();
+  // @return whether the response to a change that was just applied is lost.
+  bool loses_response();
 
  private:
   const TimeSource& time_source_;
@@ -67,7 +67,7 @@
  public:
   using Object = std::shared_ptr<const std::string>;
 
-  // @param dispatcher the platform's own loop; operations take effect on it.
+  // @param dispatcher event loop of the platform, on which operations take effect.
   EmulatedPlatform(const TimeSource& time_source, Dispatcher& dispatcher, RandomGenerator& random);
 
   EmulatedService& table_service() { return table_service_; }
@@ -80,13 +80,13 @@
   MemoryTable& table() { return table_; }
   std::map<std::string, Object>& objects() { return objects_; }
 
-  // Changes the true list. Readers see the change after the lag.
+  // Changes the authoritative list. Readers see the change after the lag.
   void set_machines(std::vector<Machine> machines);
-  // Makes the current list visible to readers at once.
+  // Makes the current list visible to readers immediately.
   void forget_machine_history();
   const std::vector<Machine>& machines() const { return machine_history_.back().second; }
   void set_machine_list_lag(Duration lag) { machine_list_lag_ = lag; }
-  // @return the list as it was one lag ago.
+  // @return the list as of one lag ago.
   MachineListSnapshot visible_machines();
 
   DelayedCalls& calls() { return calls_; }
@@ -104,17 +104,19 @@
   DelayedCalls calls_;
 };
 
-// One node's way to one service. Operations take effect on the platform's loop and answer on the
-// node's; destroying the client drops its answers, while what was sent still takes effect.
+// One node's client of one service. Operations take effect on the platform's event loop and respond
+// on the node's. Destroying the client drops pending responses; operations already sent still take
+// effect.
 class EmulatedClient {
  public:
   EmulatedClient(EmulatedPlatform& platform, EmulatedService& service, Dispatcher& node_dispatcher);
 
-  // While unreachable, requests do not arrive and answers get lost.
+  // While unreachable, requests do not arrive and responses are lost.
   void set_reachable(bool reachable) { state_->reachable = reachable; }
 
  protected:
-  // @param changes whether the operation changes something, so that a lost answer leaves doubt.
+  // @param changes whether the operation is a write, so that a lost response leaves its outcome
+  // unknown.
   template <typename Value>
   void call(bool changes, std::function<Expected<Value>()> operation, Callback<Value> callback);
 
--- a/emulator/engine_handler.cc
+++ b/emulator/engine_handler.cc
@@ -21,7 +21,7 @@
 
 Error invalid(std::string message) {
   return not_run(ErrorKind::kInvalidRequest, std::move(message),
-                 "send the form that docs/operators/emulator.md shows");
+                 "use the format in docs/operators/emulator.md");
 }
 
 Expected<EngineOrder> decode_order(std::string_view body) {
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-// Writes the events of one request to its connection.
+// Streams the events of one request to its connection.
 class EngineHandler::Stream : public GenerateCallbacks {
  public:
   Stream(EngineHandler& handler, std::string attempt_id, ResponseWriterPtr writer)
@@ -65,7 +65,7 @@
     start();
     writer_->write(encode_chunk_line(chunk));
   }
-  // The last two end this object.
+  // on_complete() and on_error() schedule the destruction of this object.
   void on_complete(const GenerateResult& result) override {
     start();
     writer_->write(encode_done_line(result));
@@ -108,7 +108,7 @@
 
 void EngineHandler::handle(HttpRequest request, ResponseWriterPtr writer) {
   if (engine_.frozen()) {
-    held_.emplace_back(std::move(request), std::move(writer));
+    held_requests_.emplace_back(std::move(request), std::move(writer));
     return;
   }
   static const std::map<std::string, Route> kRoutes = {
@@ -153,7 +153,7 @@
   connection.set_on_closed(lifetime_.guard([this, attempt_id] {
     engine_.cancel(attempt_id);
     record_end(attempt_id, RunOutcome::kCancelled);
-    // The writer is in the middle of its own callback; it goes in a later turn.
+    // Deferred to a later loop iteration, because this runs in the writer's own callback.
     dispatcher_.post(lifetime_.guard([this, attempt_id] { streams_.erase(attempt_id); }));
   }));
   streams_.emplace(attempt_id, std::move(stream));
@@ -164,7 +164,7 @@
 }
 
 void EngineHandler::end_stream(const std::string& attempt_id) {
-  // Called from inside the stream.
+  // Called by the stream itself, so its destruction is deferred to a later loop iteration.
   auto stream = streams_.extract(attempt_id);
   dispatcher_.post([ended = std::shared_ptr<Stream>(std::move(stream.mapped()))] {});
 }
@@ -224,7 +224,7 @@
 }
 
 void EngineHandler::kill() {
-  held_.clear();
+  held_requests_.clear();
   engine_.kill();
 }
 
@@ -233,7 +233,7 @@
   if (frozen) {
     return;
   }
-  auto held = std::exchange(held_, {});
+  auto held = std::exchange(held_requests_, {});
   for (auto& [request, writer] : held) {
     handle(std::move(request), std::move(writer));
   }
--- a/emulator/engine_handler.h
+++ b/emulator/engine_handler.h
@@ -1,5 +1,5 @@
-// Serves one EngineModel over HTTP in the formats of docs/operators/platform_adapters.md, with
-// POST /orders, GET /cache_events and GET /counters besides.
+// Serves one EngineModel over HTTP in the formats of docs/operators/platform_adapters.md, and
+// also POST /orders, GET /cache_events and GET /counters.
 #pragma once
 
 #include <deque>
@@ -20,9 +20,9 @@
   ~EngineHandler() override;
   void handle(HttpRequest request, ResponseWriterPtr writer) override;
 
-  // Kills the engine and breaks off all its connections.
+  // Kills the engine and aborts all its connections.
   void kill();
-  // While frozen, requests are taken and nothing is answered.
+  // While frozen, requests are accepted but not answered.
   void set_frozen(bool frozen);
 
  private:
@@ -42,7 +42,7 @@
   Dispatcher& dispatcher_;
   RunRecorder recorder_;
   std::map<std::string, std::unique_ptr<Stream>> streams_;
-  std::deque<std::pair<HttpRequest, ResponseWriterPtr>> held_;  // came while frozen
+  std::deque<std::pair<HttpRequest, ResponseWriterPtr>> held_requests_;  // received while frozen
   Lifetime lifetime_;
 };
 
--- a/emulator/engine_model.cc
+++ b/emulator/engine_model.cc
@@ -8,7 +8,7 @@
 namespace chalkshed {
 namespace {
 
-constexpr size_t kCacheEventsKept = 10'000;
+constexpr size_t kMaxCacheEvents = 10'000;
 constexpr Duration kLoadHistorySpacing = std::chrono::milliseconds(1);
 
 }  // namespace
@@ -22,7 +22,7 @@
       models_(settings_.models),
       step_timer_(dispatcher.create_timer([this] { end_step(); })),
       delayed_calls_(time_source, dispatcher) {
-  note_load();
+  record_load();
 }
 
 EngineModel::~EngineModel() = default;
@@ -82,7 +82,7 @@
     sequence->truncate_at = static_cast<uint32_t>(random_.below(sequence->answer_length));
   }
   if (faults_.late_probability > 0 && random_.unit() < faults_.late_probability) {
-    sequence->lateness = faults_.late_delay;
+    sequence->delivery_delay = faults_.late_delay;
   }
   sequence->request = std::move(request);
   sequence->callbacks = &callbacks;
@@ -96,7 +96,7 @@
   }
   const SequencePtr sequence = make_sequence(std::move(request), callbacks);
   const uint32_t longest = sequence->prompt_tokens + sequence->answer_length + 1;
-  if (divide_up(longest, settings_.block_tokens) > settings_.total_blocks) {
+  if (ceil_divide(longest, settings_.block_tokens) > settings_.total_blocks) {
     ++counters_.refused_sequences;
     return not_run(ErrorKind::kTooLarge, "prompt and answer exceed the engine's KV memory",
                    "shorten the prompt");
@@ -106,7 +106,7 @@
     delayed_calls_.add(*sequence->request.time_limit,
                        [this, attempt_id = sequence->request.attempt_id] { expire(attempt_id); });
   }
-  note_load();
+  record_load();
   wake();
   return std::nullopt;
 }
@@ -114,10 +114,10 @@
 // Ends a request that has reached its time limit.
 void EngineModel::expire(const std::string& attempt_id) {
   for (Queue* queue : {&waiting_online_, &waiting_batch_, &running_}) {
-    if (const SequencePtr sequence = take_out(*queue, attempt_id)) {
+    if (const SequencePtr sequence = remove_sequence(*queue, attempt_id)) {
       release_blocks(*sequence);
       ++counters_.cancelled_sequences;
-      note_load();
+      record_load();
       GenerateCallbacks* callbacks = std::exchange(sequence->callbacks, nullptr);
       callbacks->on_error(maybe_run(ErrorKind::kUpstreamFailed,
                                     "the request has reached its time limit",
@@ -127,7 +127,7 @@
   }
 }
 
-EngineModel::SequencePtr EngineModel::take_out(Queue& queue, const std::string& attempt_id) {
+EngineModel::SequencePtr EngineModel::remove_sequence(Queue& queue, const std::string& attempt_id) {
   const auto found = std::ranges::find_if(queue, [&](const SequencePtr& sequence) {
     return sequence->request.attempt_id == attempt_id;
   });
@@ -146,11 +146,11 @@
     }
   }
   for (Queue* queue : {&waiting_online_, &waiting_batch_, &running_}) {
-    if (const SequencePtr sequence = take_out(*queue, attempt_id)) {
+    if (const SequencePtr sequence = remove_sequence(*queue, attempt_id)) {
       sequence->callbacks = nullptr;
       release_blocks(*sequence);
       ++counters_.cancelled_sequences;
-      note_load();
+      record_load();
     }
   }
 }
@@ -179,7 +179,7 @@
   return load;
 }
 
-void EngineModel::note_load() {
+void EngineModel::record_load() {
   const MonotonicTime now = time_source_.monotonic_now();
   if (!load_history_.empty() && now - load_history_.back().first < kLoadHistorySpacing) {
     load_history_.back().second = load();
@@ -197,12 +197,12 @@
     load_history_.pop_front();
   }
   EngineLoad load = load_history_.front().second;
-  load.leaving = leaving_;  // an engine announces its leaving without lag
+  load.leaving = leaving_;  // the leaving state is reported without lag
   load.incarnation = incarnation_;
   return load;
 }
 
-void EngineModel::note_cache_changes() {
+void EngineModel::record_cache_changes() {
   const MonotonicTime now = time_source_.monotonic_now();
   for (const CacheChange& change : cache_.take_changes()) {
     const uint64_t sequence = next_cache_event_++;
@@ -211,7 +211,7 @@
     }
     cache_events_.emplace_back(now, CacheEvent{sequence, change.block_hash, change.added});
   }
-  while (cache_events_.size() > kCacheEventsKept) {
+  while (cache_events_.size() > kMaxCacheEvents) {
     cache_events_.pop_front();
   }
 }
@@ -230,9 +230,9 @@
 std::optional<Error> EngineModel::apply_order(const EngineOrder& order) {
   if (order.fence <= last_fence_) {
     return not_run(ErrorKind::kConflict,
-                   "order with fence " + std::to_string(order.fence) + " came after fence " +
+                   "order with fence " + std::to_string(order.fence) + " arrived after fence " +
                        std::to_string(last_fence_),
-                   "read the newest order and give the next fence");
+                   "read the newest order and use the next fence");
   }
   last_fence_ = order.fence;
   switch (order.kind) {
@@ -260,7 +260,7 @@
   return std::nullopt;
 }
 
-std::vector<EngineModel::SequencePtr> EngineModel::forget_everything() {
+std::vector<EngineModel::SequencePtr> EngineModel::clear_state() {
   std::vector<SequencePtr> all;
   for (Queue* queue : {&running_, &waiting_online_, &waiting_batch_}) {
     all.insert(all.end(), queue->begin(), queue->end());
@@ -279,11 +279,11 @@
 
 void EngineModel::kill() {
   alive_ = false;
-  const std::vector<SequencePtr> broken = forget_everything();
-  note_load();
+  const std::vector<SequencePtr> broken = clear_state();
+  record_load();
   for (const SequencePtr& sequence : broken) {
     if (GenerateCallbacks* callbacks = std::exchange(sequence->callbacks, nullptr)) {
-      callbacks->on_error(maybe_run(ErrorKind::kUpstreamFailed, "the engine died",
+      callbacks->on_error(maybe_run(ErrorKind::kUpstreamFailed, "the engine crashed",
                                     "resume or resend on another worker"));
     }
   }
@@ -313,15 +313,15 @@
 
 void EngineModel::deliver(const SequencePtr& sequence,
                           std::function<void(GenerateCallbacks&)> event) {
-  delayed_calls_.add(sequence->lateness, [this, sequence, event = std::move(event)] {
-    if (--sequence->late_events == 0) {
+  delayed_calls_.add(sequence->delivery_delay, [this, sequence, event = std::move(event)] {
+    if (--sequence->pending_events == 0) {
       std::erase(delayed_, sequence);
     }
     if (sequence->callbacks != nullptr) {
       event(*sequence->callbacks);
     }
   });
-  if (sequence->late_events++ == 0) {
+  if (sequence->pending_events++ == 0) {
     delayed_.push_back(sequence);
   }
 }
@@ -331,7 +331,7 @@
   chunk.first_index = sequence->next_index - 1;
   chunk.tokens.push_back(answer_token(sequence->seed, chunk.first_index));
   chunk.load = load;
-  if (sequence->lateness > Duration(0)) {
+  if (sequence->delivery_delay > Duration(0)) {
     deliver(sequence, [chunk = std::move(chunk)](GenerateCallbacks& callbacks) {
       callbacks.on_chunk(chunk);
     });
@@ -350,13 +350,13 @@
   result.load = load;
   auto event = [truncated, result](GenerateCallbacks& callbacks) {
     if (truncated) {
-      callbacks.on_error(maybe_run(ErrorKind::kUpstreamFailed, "the stream broke off",
+      callbacks.on_error(maybe_run(ErrorKind::kUpstreamFailed, "the stream ended prematurely",
                                    "resume or resend on another worker"));
     } else {
       callbacks.on_complete(result);
     }
   };
-  if (sequence->lateness > Duration(0)) {
+  if (sequence->delivery_delay > Duration(0)) {
     deliver(sequence, event);
   } else {
     event(*std::exchange(sequence->callbacks, nullptr));
@@ -384,7 +384,7 @@
     cache_.publish(sequence.block_hashes, sequence.pinned_blocks, full_blocks);
     sequence.pinned_blocks = full_blocks;
   }
-  // A resumed answer may have been whole already; then only its end mark is missing.
+  // A resumed answer may already be complete; then only its end marker is missing.
   sequence.produced_token = sequence.next_index < sequence.answer_length;
   if (sequence.produced_token) {
     ++sequence.next_index;
@@ -425,12 +425,12 @@
     release_blocks(*sequence);
     count_finished(*sequence);
   }
-  note_cache_changes();
-  note_load();
+  record_cache_changes();
+  record_load();
   if (step_observer_) {
     step_observer_(step_);
   }
-  // Callbacks may submit and cancel; the next step begins after them all.
+  // Callbacks may submit and cancel requests; the next step begins after all of them.
   const EngineLoad load_now = load();
   const uint64_t incarnation = incarnation_;
   size_t next_ended = 0;
--- a/emulator/engine_model.h
+++ b/emulator/engine_model.h
@@ -1,6 +1,6 @@
 // Model of an inference engine with continuous batching: steps, chunked prefill, priorities and
-// preemption, prefix cache, KV memory, load reports, fenced orders and failures. It has no sockets;
-// the emulator program serves it over HTTP and the simulator calls it directly.
+// preemption, prefix cache, KV memory, load reports, fenced orders and failures. It uses no
+// sockets: the emulator serves it over HTTP and the simulator calls it directly.
 #pragma once
 
 #include <deque>
@@ -24,38 +24,39 @@
               RandomGenerator& random);
   ~EngineModel();
 
-  // Takes a request. Its events come later, never inside this call; on_error stands for a stream
-  // that breaks off without its end mark.
+  // Submits a request. Its events are delivered later, never synchronously; on_error represents a
+  // stream that ends without its end marker.
   // @param callbacks must stay valid until the last event or cancel().
-  // @return the error (Ran::kNo) with which the engine refuses the request, if it does.
+  // @return the error (Ran::kNo) if the engine refuses the request.
   std::optional<Error> submit(GenerateRequest request, GenerateCallbacks& callbacks);
-  // Ends a request; no event comes afterwards. Unknown ids are ignored.
+  // Cancels a request; no event is delivered afterwards. Unknown ids are ignored.
   void cancel(const std::string& attempt_id);
 
-  // The load now, as it is attached to answers.
+  // Current load, as attached to responses.
   EngineLoad load() const;
-  // The load one report lag ago, as GET /load gives it.
+  // Load as of one report lag ago, as returned by GET /load.
   EngineLoad reported_load();
-  // Cache events after a sequence number, without those younger than the lag and those lost.
+  // Cache events after a sequence number, except lost ones and those more recent than the lag.
   std::vector<CacheEvent> cache_events(uint64_t after_sequence) const;
-  // Errors (Ran::kNo): kConflict when the fence is not above the last accepted one.
+  // Errors (Ran::kNo): kConflict if the fence is not greater than the last accepted one.
   std::optional<Error> apply_order(const EngineOrder& order);
 
   void set_leaving(bool leaving) { leaving_ = leaving; }
   void set_incarnation(uint64_t incarnation) { incarnation_ = incarnation; }
   EngineFaults& faults() { return faults_; }
-  // Breaks every stream off and forgets everything. Requests are refused until restart().
+  // Aborts every stream and drops all state. Requests are refused until restart().
   void kill();
-  // Starts anew with a raised incarnation and an empty cache.
+  // Restarts with a higher incarnation and an empty cache.
   void restart();
   bool alive() const { return alive_; }
-  // A frozen engine does nothing and keeps its requests; nothing is answered until it thaws.
+  // A frozen engine makes no progress and sends no responses, but keeps its requests.
   void set_frozen(bool frozen);
   bool frozen() const { return frozen_; }
 
   const EngineSettings& settings() const { return settings_; }
   const EngineCounters& counters() const { return counters_; }
-  // Called with the attempt each time a request enters the running set, after preemption too.
+  // Called with the attempt id each time a request is admitted to the running set, also after a
+  // preemption.
   void set_admission_observer(std::function<void(const std::string&)> observer) {
     admission_observer_ = std::move(observer);
   }
@@ -73,7 +74,7 @@
   SequencePtr make_sequence(GenerateRequest request, GenerateCallbacks& callbacks);
   Queue& waiting_queue(EnginePriority priority);
   const Queue& waiting_queue(EnginePriority priority) const;
-  SequencePtr take_out(Queue& queue, const std::string& attempt_id);
+  SequencePtr remove_sequence(Queue& queue, const std::string& attempt_id);
   void expire(const std::string& attempt_id);
   void wake();
   void begin_step();
@@ -93,9 +94,9 @@
   void deliver_token(const SequencePtr& sequence, const EngineLoad& load);
   void deliver_end(const SequencePtr& sequence, const EngineLoad& load);
   void count_finished(const Sequence& sequence);
-  void note_load();
-  void note_cache_changes();
-  std::vector<SequencePtr> forget_everything();
+  void record_load();
+  void record_cache_changes();
+  std::vector<SequencePtr> clear_state();
 
   const EngineSettings settings_;
   const TimeSource& time_source_;
@@ -108,13 +109,13 @@
 
   Queue waiting_online_;
   Queue waiting_batch_;
-  Queue running_;                     // in the order of admission
-  std::vector<SequencePtr> delayed_;  // left the engine, late events still to come
+  Queue running_;                     // in order of admission
+  std::vector<SequencePtr> delayed_;  // removed from the engine, with late events pending
 
   bool step_running_ = false;
-  bool step_due_ = false;  // the step ended while frozen
+  bool step_due_ = false;  // a step ended while the engine was frozen
   EngineStepReport step_;
-  Duration swap_time_{0};  // of preemptions and swaps since the last step
+  Duration swap_time_{0};  // of preemptions and swap-ins since the last step
   uint64_t step_number_ = 0;
   Duration last_step_time_{0};
 
--- a/emulator/engine_schedule.cc
+++ b/emulator/engine_schedule.cc
@@ -1,4 +1,4 @@
-// The engine's scheduler: what each step contains and how long it takes.
+// Engine scheduler: determines the contents and duration of each step.
 #include <algorithm>
 
 #include "emulator/engine_model.h"
@@ -32,7 +32,7 @@
   }
   step_.duration = step_duration();
   swap_time_ = Duration(0);
-  note_load();
+  record_load();
   step_timer_->enable(step_.duration);
 }
 
@@ -52,7 +52,7 @@
     if (!try_admit(sequence)) {
       return;
     }
-    // Preemption puts batch sequences at the front of their own queue, never of the online one.
+    // Preemption puts batch sequences at the front of the batch queue, never of the online queue.
     queue.pop_front();
     running_.push_back(sequence);
     if (admission_observer_) {
@@ -73,7 +73,7 @@
   const uint32_t cached = cache_.cached_prefix(sequence.block_hashes);
   cache_.pin(sequence.block_hashes, cached);
   const uint32_t tokens = sequence.prefill_target + 1;
-  const uint32_t blocks = divide_up(tokens, settings_.block_tokens) - cached;
+  const uint32_t blocks = ceil_divide(tokens, settings_.block_tokens) - cached;
   if (!allocate_or_preempt(blocks, sequence.request.priority)) {
     cache_.unpin(sequence.block_hashes, cached);
     return false;
@@ -85,7 +85,7 @@
     swap_time_ += settings_.swap_per_block * blocks;
     return true;
   }
-  // The last token is always prefilled: its output is the next token.
+  // The last token is always prefilled, because its output is the next token.
   const uint32_t cached_tokens =
       std::min(cached * settings_.block_tokens, sequence.prefill_target - 1);
   sequence.prefilled = cached_tokens;
@@ -142,7 +142,7 @@
   for (const SequencePtr& sequence : sequences) {
     const uint32_t tokens =
         std::max(sequence->prefill_target, sequence->prompt_tokens + sequence->next_index) + 1;
-    const uint32_t needed = divide_up(tokens, settings_.block_tokens);
+    const uint32_t needed = ceil_divide(tokens, settings_.block_tokens);
     const bool still_running = sequence->private_blocks + sequence->pinned_blocks > 0;
     if (!still_running || needed <= sequence->private_blocks + sequence->pinned_blocks) {
       continue;
--- a/emulator/engine_sequence.h
+++ b/emulator/engine_sequence.h
@@ -1,4 +1,4 @@
-// Internal state of one request inside EngineModel.
+// State of one request inside EngineModel.
 #pragma once
 
 #include <optional>
@@ -8,18 +8,17 @@
 
 namespace chalkshed {
 
-inline uint32_t divide_up(uint32_t value, uint32_t divisor) {
+inline uint32_t ceil_divide(uint32_t value, uint32_t divisor) {
   return (value + divisor - 1) / divisor;
 }
 
-// A request inside the engine.
 struct EngineModel::Sequence {
   GenerateRequest request;
   GenerateCallbacks* callbacks = nullptr;  // null once cancelled
   uint64_t seed = 0;
   uint32_t prompt_tokens = 0;
-  uint32_t answer_length = 0;   // where the answer ends
-  bool cut_by_limit = false;    // max_tokens ends it before its natural end
+  uint32_t answer_length = 0;   // in tokens
+  bool cut_by_limit = false;    // max_tokens ends the answer before its natural end
   uint32_t next_index = 0;      // of the next token to generate
   bool produced_token = false;  // in the last step
   uint32_t cached_prompt_tokens = 0;
@@ -31,9 +30,9 @@
   uint32_t prefill_in_step = 0;
   bool in_step = false;
   bool swapped_out = false;
-  std::optional<uint32_t> truncate_at;  // fault: breaks off at this index
-  Duration lateness{0};                 // fault
-  uint32_t late_events = 0;             // events under way
+  std::optional<uint32_t> truncate_at;  // fault: the stream ends prematurely at this token
+  Duration delivery_delay{0};           // fault: delay of every event
+  uint32_t pending_events = 0;          // scheduled events not delivered yet
 
   bool prefilling() const { return prefilled < prefill_target; }
   bool batch() const { return request.priority == EnginePriority::kBatch; }
--- a/emulator/engine_settings.h
+++ b/emulator/engine_settings.h
@@ -1,4 +1,4 @@
-// Constants, faults, orders and reports of an emulated engine.
+// Settings, faults, orders and reports of an emulated engine.
 #pragma once
 
 #include <cstdint>
@@ -9,10 +9,10 @@
 
 namespace chalkshed {
 
-// What happens to the KV blocks of a sequence that is preempted.
+// Handling of the KV blocks of a preempted sequence.
 enum class PreemptionMode {
-  kRecompute,  // blocks are dropped; prompt and answer so far are prefilled again
-  kSwap,       // blocks are copied out and later in again; costs step time
+  kRecompute,  // drop the blocks; prefill the prompt and the generated tokens again
+  kSwap,       // copy the blocks out and later back in, which adds to the step time
 };
 
 struct EngineSettings {
@@ -22,33 +22,33 @@
   Duration swap_per_block = std::chrono::microseconds(50);  // each direction
   PreemptionMode preemption = PreemptionMode::kRecompute;
   uint32_t max_running_sequences = 32;
-  uint32_t max_waiting_sequences = 256;        // beyond it, requests are refused
+  uint32_t max_waiting_sequences = 256;        // further requests are refused
   uint32_t max_prompt_tokens_per_step = 1024;  // chunked prefill
   uint32_t block_tokens = 16;
   uint32_t total_blocks = 4096;
   bool prefix_cache = true;
-  Duration load_report_lag = std::chrono::milliseconds(200);  // of fetched reports
+  Duration load_report_lag = std::chrono::milliseconds(200);  // of load reports fetched by polling
   Duration cache_event_lag = std::chrono::milliseconds(500);
   double cache_event_loss_probability = 0.05;
   Duration model_load_time = std::chrono::seconds(2);
-  std::vector<std::string> models;  // loaded at the start; empty: answers to every name
+  std::vector<std::string> models;  // loaded at startup; empty: accepts every model name
 };
 
-// Faults of one engine; may be changed while it runs.
+// Injected faults of one engine; may be changed while it runs.
 struct EngineFaults {
   double slow_factor = 1.0;         // multiplies step times
-  double truncate_probability = 0;  // a stream breaks off without its end mark
-  double late_probability = 0;      // all events of a stream come late
+  double truncate_probability = 0;  // that a stream ends without its end marker
+  double late_probability = 0;      // that all events of a stream are delayed
   Duration late_delay{0};
 };
 
-// What an engine serves.
+// Priorities that an engine accepts.
 enum class EngineRole { kMixed, kOnlineOnly, kBatchOnly };
 
 enum class EngineOrderKind { kLoadModel, kUnloadModel, kChangeRole, kLeave, kStay };
 
-// An operator's order. Orders with a fence at or below the last accepted one are refused, so that a
-// delayed order never undoes a newer one.
+// An operator's order. Orders whose fence is not greater than the last accepted one are refused, so
+// that a delayed order never reverts a newer one.
 struct EngineOrder {
   uint64_t fence = 0;
   EngineOrderKind kind = EngineOrderKind::kLoadModel;
@@ -57,14 +57,14 @@
   EngineRole role = EngineRole::kMixed;
 };
 
-// A change of an engine's prefix cache. A gap in the sequence numbers tells of lost events.
+// A change of an engine's prefix cache. A gap in the sequence numbers indicates lost events.
 struct CacheEvent {
   uint64_t sequence = 0;
   uint64_t block_hash = 0;
   bool added = false;
 };
 
-// One finished step.
+// Contents and duration of one finished step.
 struct EngineStepReport {
   MonotonicTime started;
   Duration duration{0};
@@ -82,7 +82,7 @@
   uint64_t batch_tokens = 0;
   uint64_t online_prompt_tokens = 0;  // prefilled, recomputation included
   uint64_t batch_prompt_tokens = 0;
-  uint64_t online_cached_prompt_tokens = 0;  // spared by the prefix cache
+  uint64_t online_cached_prompt_tokens = 0;  // prefill avoided by the prefix cache
   uint64_t batch_cached_prompt_tokens = 0;
   uint64_t finished_batch_sequences = 0;
   uint64_t finished_batch_tokens = 0;         // answer tokens of finished batch sequences
--- a/emulator/fleet.cc
+++ b/emulator/fleet.cc
@@ -12,7 +12,7 @@
 
 Error invalid(std::string message) {
   return not_run(ErrorKind::kInvalidRequest, std::move(message),
-                 "see docs/operators/emulator.md for the faults");
+                 "see docs/operators/emulator.md for the list of faults");
 }
 
 double milliseconds(Duration duration) { return static_cast<double>(duration.count()) / 1000; }
@@ -102,7 +102,7 @@
     add_group(group);
   }
   publish_machines();
-  platform_.forget_machine_history();  // the fleet has stood for longer than the lag
+  platform_.forget_machine_history();  // the initial list is visible without lag
   platform_.set_machine_list_lag(settings_.machine_list_lag);
   control_server_ = std::make_unique<HttpServer>(dispatcher_, settings_.control, *this);
 }
@@ -167,7 +167,7 @@
   host.server.reset();
 }
 
-void Fleet::revive(Host& host) {
+void Fleet::restart_host(Host& host) {
   if (host.engine) {
     host.engine->restart();
   }
@@ -183,7 +183,7 @@
   if (state == "dead") {
     kill(host);
   } else if (!host.server) {
-    revive(host);
+    restart_host(host);
   }
   const bool leaving = state == "leaving";
   host.machine.state = leaving ? MachineState::kLeaving : MachineState::kLive;
@@ -229,7 +229,7 @@
         }
       }
     }
-  } catch (const std::exception& exception) {  // of JSON or of a fault's value
+  } catch (const std::exception& exception) {  // JSON error or invalid fault value
     return invalid(exception.what());
   }
   return std::nullopt;
--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -1,4 +1,4 @@
-// A fleet of emulated workers and back ends with their platform, served over HTTP by one process.
+// Emulated workers, back ends and platform services, served over HTTP by one process.
 #pragma once
 
 #include <memory>
@@ -16,14 +16,15 @@
 
 class Fleet : public HttpHandler {
  public:
-  // Listens on all addresses. Throws std::runtime_error when one cannot be bound.
+  // Listens on all addresses. Throws std::runtime_error if an address cannot be bound.
   Fleet(FleetSettings settings, const TimeSource& time_source, EventDispatcher& dispatcher);
 
-  // Control port: the platform's services, and GET /status, GET and POST /faults, POST /machines.
+  // Serves the control port: the platform services, GET /status, GET and POST /faults and POST
+  // /machines.
   void handle(HttpRequest request, ResponseWriterPtr writer) override;
 
  private:
-  // One worker or back end. Without a server it is dead: connections are refused.
+  // One worker or back end. Without a server it is dead and refuses connections.
   struct Host {
     Machine machine;
     std::unique_ptr<EngineModel> engine;  // workers
@@ -39,9 +40,9 @@
   Host* find_host(const std::string& id);
   void set_state(Host& host, const std::string& state);
   void kill(Host& host);
-  void revive(Host& host);
+  void restart_host(Host& host);
   void publish_machines();
-  // @return the first error in the body, if there is one; what came before it is in force.
+  // @return the first error in the body, if any; the faults before it have been applied.
   std::optional<Error> apply_faults(const std::string& body);
   std::optional<Error> add_machines(const std::string& body);
   std::string faults_text() const;
--- a/emulator/fleet_settings.cc
+++ b/emulator/fleet_settings.cc
@@ -8,7 +8,7 @@
 namespace chalkshed {
 namespace {
 
-// Reads the keys of one table and notes the first error: a wrong type or an unknown key.
+// Reads the keys of one TOML table and keeps the first error: a wrong type or an unknown key.
 class TableReader {
  public:
   TableReader(const toml::table& table, std::string name, std::optional<Error>& error)
@@ -29,7 +29,7 @@
     }
   }
 
-  // @param key ends with _ms; the value is in milliseconds.
+  // @param key name ending in _ms, whose value is in milliseconds.
   void read_duration(std::string_view key, Duration& value) {
     double milliseconds = static_cast<double>(value.count()) / 1000;
     read(key, milliseconds);
@@ -69,7 +69,7 @@
     return node == nullptr ? nullptr : node->as_table();
   }
 
-  // Calls `read_element` for each table of an array of tables.
+  // Calls `read_element` for each table in an array of tables.
   template <typename Reader>
   void each(std::string_view key, Reader read_element) {
     known_.emplace_back(key);
@@ -103,7 +103,7 @@
       error_ = not_run(ErrorKind::kInvalidSetting,
                        "line " + std::to_string(node.source().begin.line) + ": " +
                            (name_.empty() ? key : name_ + "." + key) + " " + what,
-                       "see docs/operators/emulator.md for the settings");
+                       "see docs/operators/emulator.md for the list of settings");
     }
   }
 
--- a/emulator/fleet_settings.h
+++ b/emulator/fleet_settings.h
@@ -1,4 +1,4 @@
-// Settings of chalkshed-emulator: the platform and the fleet of workers and back ends it serves.
+// Settings of chalkshed-emulator: platform services and the fleet of workers and back ends.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace chalkshed {
 
-// Machines of one kind on consecutive ports, spread over the zones in turn.
+// Machines of one role on consecutive ports, assigned to zones round-robin.
 struct MachineGroup {
   MachineRole role = MachineRole::kWorker;
   std::string service;
@@ -24,19 +24,19 @@
 };
 
 struct FleetSettings {
-  Address control{"127.0.0.1", 7300};  // platform, faults and status
+  Address control{"127.0.0.1", 7300};  // address of the platform services, faults and status
   uint64_t seed = 1;
-  std::string run_log;  // file to which runs are recorded; empty: none
+  std::string run_log;  // file in which runs are recorded; empty: not recorded
   ServiceFaults table;
   ServiceFaults objects;
   ServiceFaults machine_list;
   Duration machine_list_lag = std::chrono::seconds(2);
   EngineSettings engine;
   std::vector<MachineGroup> groups;
-  std::vector<Machine> nodes;  // listed in the machine list
+  std::vector<Machine> nodes;  // nodes in the machine list
 };
 
-// Reads a TOML file. Errors: kInvalidSetting naming file, line and key; unknown keys are errors.
+// Reads a TOML file. Errors: kInvalidSetting with file, line and key, also for unknown keys.
 Expected<FleetSettings> load_fleet_settings(const std::string& path);
 
 }  // namespace chalkshed
--- a/emulator/memory_table.h
+++ b/emulator/memory_table.h
@@ -1,5 +1,6 @@
-// In-memory transactional table with the semantics of TableStore, applied at once. The emulator
-// serves it over HTTP with faults; the simulator and tests call it through delaying wrappers.
+// In-memory transactional table with the semantics of TableStore, applied synchronously. The
+// emulator serves it over HTTP with faults; the simulator and tests call it through wrappers that
+// add latency.
 #pragma once
 
 #include <map>
@@ -17,8 +18,8 @@
 
  private:
   std::map<RowKey, Row> rows_;
-  // Versions are unique over the whole table, so that a row deleted and written anew never shows
-  // an old version again.
+  // Versions are unique across the table, so that a row that is deleted and recreated never reuses
+  // an old version.
   RowVersion last_version_ = 0;
 };
 
--- a/emulator/memory_watched_store.cc
+++ b/emulator/memory_watched_store.cc
@@ -8,7 +8,7 @@
 namespace chalkshed {
 namespace {
 
-// As the daemon's own client of the store.
+// Same values as the daemon's store client.
 constexpr Duration kTimeout = std::chrono::milliseconds(2000);
 constexpr Duration kFollowSlack = std::chrono::milliseconds(1000);
 
@@ -60,8 +60,8 @@
 Expected<std::vector<StoredRow>> VersionedRows::changes(const std::string& table,
                                                         StoreVersion since) const {
   if (since < history_begins_) {
-    return tl::unexpected(
-        not_run(ErrorKind::kNotFound, "the history is gone", "list the table again"));
+    return tl::unexpected(not_run(ErrorKind::kNotFound, "the history is no longer available",
+                                  "list the table again"));
   }
   std::vector<StoredRow> rows;
   for (const Change& change : history_) {
@@ -119,38 +119,39 @@
   return {shared_.rows.version(), time_source_.monotonic_now().time_since_epoch()};
 }
 
-Duration MemoryWatchedStore::queued() {
+Duration MemoryWatchedStore::queueing_delay() {
   return shared_.queue.bounded() ? shared_.queue.add_call(time_source_.monotonic_now())
                                  : Duration(0);
 }
 
 template <typename Value>
 void MemoryWatchedStore::time_out(Callback<Value> callback, std::function<Expected<Value>()> answer,
-                                  ErrorKind silence_kind, Duration queued) {
+                                  ErrorKind no_response_kind, Duration queued) {
   call_after(dispatcher_, queued, lifetime_.guard([answer = std::move(answer)] { answer(); }));
-  call_after(dispatcher_, kTimeout, lifetime_.guard([silence_kind, callback = std::move(callback)] {
-    callback(tl::unexpected(
-        maybe_run(silence_kind, "the store does not answer in time", "send the call again")));
-  }));
+  call_after(dispatcher_, kTimeout,
+             lifetime_.guard([no_response_kind, callback = std::move(callback)] {
+               callback(tl::unexpected(maybe_run(
+                   no_response_kind, "the store did not respond in time", "send the call again")));
+             }));
 }
 
 template <typename Value>
 void MemoryWatchedStore::answer_later(Callback<Value> callback,
                                       std::function<Expected<Value>()> answer,
-                                      ErrorKind silence_kind) {
+                                      ErrorKind no_response_kind) {
   ++shared_.calls;
-  const bool silent = cut_ || shared_.trouble.silent;
-  const Duration delay = delay_ + (silent ? Duration(0) : queued());
+  const bool silent = partitioned_ || shared_.trouble.silent;
+  const Duration delay = delay_ + (silent ? Duration(0) : queueing_delay());
   if (delay > kTimeout) {
-    time_out<Value>(std::move(callback), std::move(answer), silence_kind, delay);
+    time_out<Value>(std::move(callback), std::move(answer), no_response_kind, delay);
     return;
   }
   call_after(dispatcher_, silent ? kTimeout : delay,
-             lifetime_.guard([this, silent, silence_kind, callback = std::move(callback),
+             lifetime_.guard([this, silent, no_response_kind, callback = std::move(callback),
                               answer = std::move(answer)] {
                if (silent) {
-                 callback(tl::unexpected(
-                     maybe_run(silence_kind, "the store does not answer", "send the call again")));
+                 callback(tl::unexpected(maybe_run(no_response_kind, "the store does not respond",
+                                                   "send the call again")));
                } else if (shared_.trouble.down) {
                  callback(tl::unexpected(unavailable()));
                } else {
@@ -176,15 +177,15 @@
   ++shared_.calls;
   auto follower =
       std::make_shared<Follower>(Follower{std::move(table), since, std::move(callback)});
-  const Duration until_held = cut_ ? Duration(0) : queued();
-  if (until_held == Duration(0)) {
+  const Duration queueing = partitioned_ ? Duration(0) : queueing_delay();
+  if (queueing == Duration(0)) {
     hold(follower, wait);
   } else {
-    call_after(dispatcher_, until_held,
+    call_after(dispatcher_, queueing,
                lifetime_.guard([this, follower, wait] { hold(follower, wait); }));
   }
   if (shared_.queue.bounded()) {
-    give_up_after(follower, wait + kFollowSlack);
+    time_out_after(follower, wait + kFollowSlack);
   }
 }
 
@@ -198,9 +199,9 @@
   }));
 }
 
-void MemoryWatchedStore::give_up_after(const FollowerPtr& follower, Duration wait) {
+void MemoryWatchedStore::time_out_after(const FollowerPtr& follower, Duration wait) {
   call_after(dispatcher_, wait, lifetime_.guard([this, follower] {
-    if (std::exchange(follower->given_up, true)) {
+    if (std::exchange(follower->timed_out, true)) {
       return;
     }
     std::erase(followers_, follower);
@@ -209,7 +210,8 @@
 }
 
 void MemoryWatchedStore::wake() {
-  if (cut_ || shared_.trouble.hold_changes || shared_.trouble.down || shared_.trouble.silent) {
+  if (partitioned_ || shared_.trouble.hold_changes || shared_.trouble.down ||
+      shared_.trouble.silent) {
     return;
   }
   const std::vector<FollowerPtr> followers = followers_;
@@ -224,11 +226,11 @@
 void MemoryWatchedStore::answer(const FollowerPtr& follower) {
   follower->answered = true;
   std::erase(followers_, follower);
-  call_after(dispatcher_, delay_ + queued(), lifetime_.guard([this, follower] {
-    if (std::exchange(follower->given_up, true)) {
+  call_after(dispatcher_, delay_ + queueing_delay(), lifetime_.guard([this, follower] {
+    if (std::exchange(follower->timed_out, true)) {
       return;
     }
-    if (cut_ || shared_.trouble.silent || shared_.trouble.down) {
+    if (partitioned_ || shared_.trouble.silent || shared_.trouble.down) {
       follower->callback(tl::unexpected(unavailable()));
       return;
     }
@@ -247,7 +249,7 @@
 }
 
 void MemoryWatchedStore::commit(StoreTransaction transaction, Callback<StoreCommit> callback) {
-  const bool lost = shared_.trouble.lose_commits && !cut_;
+  const bool lost = shared_.trouble.lose_commits && !partitioned_;
   if (lost) {
     ++shared_.calls;
     call_after(dispatcher_, std::max(shared_.trouble.late_commits, delay_),
@@ -257,7 +259,7 @@
                });
     call_after(dispatcher_, kTimeout, lifetime_.guard([callback = std::move(callback)] {
       callback(tl::unexpected(
-          maybe_run(ErrorKind::kOutcomeUnknown, "the answer was lost", "read back")));
+          maybe_run(ErrorKind::kOutcomeUnknown, "the response was lost", "read back")));
     }));
     return;
   }
@@ -267,8 +269,8 @@
         if (exceeds_limits(transaction)) {
           ++shared_.refused_transactions;
           return tl::unexpected(not_run(ErrorKind::kInvalidRequest,
-                                        "the transaction holds too many entries or bytes",
-                                        "split it"));
+                                        "the transaction exceeds the limit on entries or bytes",
+                                        "split the transaction"));
         }
         StoreCommit result = shared_.rows.commit(transaction);
         result.stamp.steady_clock = stamp().steady_clock;
--- a/emulator/memory_watched_store.h
+++ b/emulator/memory_watched_store.h
@@ -1,6 +1,6 @@
-// The platform's row store and object store in memory, with the troubles of the real ones: calls
-// that are refused, whose answers are lost, or that are applied late; history that is dropped;
-// reads that are old. Answers arrive after a delay of virtual or real time.
+// In-memory row store and object store of the platform, with the faults of the real ones: refused
+// calls, lost responses, commits that are applied late, dropped history and stale reads. Responses
+// arrive after a delay in virtual or real time.
 #pragma once
 
 #include <algorithm>
@@ -18,14 +18,14 @@
 
 namespace chalkshed {
 
-// Rows with their history, free of time and of callers.
+// Rows with their history, independent of time and of callers.
 class VersionedRows {
  public:
   StoreVersion version() const { return version_; }
-  // As of `version`, which the history must still hold.
+  // Reads as of `version`, which the history must still contain.
   RangePage read(const RangeRead& range, StoreVersion version) const;
   RangePage read(const RangeRead& range) const { return read(range, version_); }
-  // Errors: kNotFound when the history behind `since` is gone.
+  // Errors: kNotFound if the history after `since` has been dropped.
   Expected<std::vector<StoredRow>> changes(const std::string& table, StoreVersion since) const;
   StoreCommit commit(const StoreTransaction& transaction);
   void drop_history() { history_begins_ = version_; }
@@ -41,25 +41,25 @@
   StoreVersion history_begins_ = 0;
 };
 
-// What goes wrong at the moment.
+// Faults that are currently active.
 struct StoreTrouble {
-  bool down = false;            // calls are refused: nothing is done
-  bool silent = false;          // calls get no answer, and nothing is done
-  bool lose_commits = false;    // commits are applied, their answers are lost
-  Duration late_commits{0};     // unanswered commits are applied after this long instead
-  bool hold_changes = false;    // followers hear nothing
-  StoreVersion read_as_of = 0;  // range reads are answered as of this version; 0: as they are
+  bool down = false;            // calls are refused and have no effect
+  bool silent = false;          // calls get no response and have no effect
+  bool lose_commits = false;    // commits are applied, but their responses are lost
+  Duration late_commits{0};     // commits with lost responses are applied after this delay
+  bool hold_changes = false;    // followers receive no changes
+  StoreVersion read_as_of = 0;  // range reads return this version; 0: the current version
 };
 
-// A store with a bounded capacity does one call after the other, also those whose callers have
-// given up: the more calls wait, the later all of them are answered.
+// Models a store with limited capacity, which executes calls serially, including those whose
+// callers have timed out: the longer the queue, the later every call completes.
 class StoreQueue {
  public:
-  Duration service_time{0};  // of one call; 0: no bound
+  Duration service_time{0};  // per call; 0: unlimited capacity
   bool bounded() const { return service_time > Duration(0); }
-  // Takes a further call in. @return until it is done.
+  // Enqueues a call. @return time until it completes.
   Duration add_call(MonotonicTime now) { return add_work(now, service_time); }
-  // Takes in what others ask of the store. @return until it is done.
+  // Enqueues other load of the store. @return time until it completes.
   Duration add_work(MonotonicTime now, Duration work) {
     free_at_ = std::max(free_at_, now) + work;
     return free_at_ - now;
@@ -69,7 +69,7 @@
   MonotonicTime free_at_{};
 };
 
-// The store that all nodes of a test or simulation share.
+// Store state shared by all nodes of a test or simulation.
 class SharedStore {
  public:
   VersionedRows rows;
@@ -77,8 +77,8 @@
   std::map<std::string, std::shared_ptr<const std::string>> objects;
   StoreTrouble trouble;
   uint64_t calls = 0;
-  uint64_t refused_transactions = 0;              // they held more than the store takes
-  std::map<std::string, uint64_t> rows_followed;  // rows that followers were sent, by table
+  uint64_t refused_transactions = 0;              // over the store's limit on entries or bytes
+  std::map<std::string, uint64_t> rows_followed;  // rows sent to followers, by table
 
   void add_follower(std::function<void()> wake) { followers_.push_back(std::move(wake)); }
   void wake_followers();
@@ -90,13 +90,13 @@
 // One node's connection to the shared store.
 class MemoryWatchedStore : public WatchedStore, public ObjectStore {
  public:
-  // @param delay of every answer. All references outlive this.
+  // @param delay latency of every response. All references must outlive this object.
   MemoryWatchedStore(SharedStore& shared, TimeSource& time_source, Dispatcher& dispatcher,
                      Duration delay = std::chrono::milliseconds(4));
 
-  // A node that is cut off gets no answers, and its calls do nothing.
-  void set_cut(bool cut) { cut_ = cut; }
-  // A store that is slow for this node: from now on its answers take so long.
+  // Partitions the node from the store: its calls have no effect and get no response.
+  void set_cut(bool cut) { partitioned_ = cut; }
+  // Sets the response latency of the store for this node.
   void set_delay(Duration delay) { delay_ = delay; }
 
   void read_range(RangeRead range, Callback<RangePage> callback) override;
@@ -114,23 +114,23 @@
     StoreVersion since = 0;
     Callback<TableChanges> callback;
     bool answered = false;
-    bool given_up = false;  // by the caller
+    bool timed_out = false;  // the caller has timed out
   };
   using FollowerPtr = std::shared_ptr<Follower>;
 
   StoreStamp stamp() const;
-  // Runs `answer` after the delay, or an error after the time-out when the store doesn't answer.
+  // Runs `answer` after the delay, or fails after the time-out if the store does not respond.
   template <typename Value>
   void answer_later(Callback<Value> callback, std::function<Expected<Value>()> answer,
-                    ErrorKind silence_kind);
-  // Until a call that is made now is done.
-  Duration queued();
-  // A call whose answer comes after the caller's time-out is done all the same.
+                    ErrorKind no_response_kind);
+  // @return time until a call that is made now completes.
+  Duration queueing_delay();
+  // A call still takes effect if its response is later than the caller's time-out.
   template <typename Value>
   void time_out(Callback<Value> callback, std::function<Expected<Value>()> answer,
-                ErrorKind silence_kind, Duration queued);
+                ErrorKind no_response_kind, Duration queued);
   void hold(const FollowerPtr& follower, Duration wait);
-  void give_up_after(const FollowerPtr& follower, Duration wait);
+  void time_out_after(const FollowerPtr& follower, Duration wait);
   void wake();
   void answer(const FollowerPtr& follower);
 
@@ -138,7 +138,7 @@
   TimeSource& time_source_;
   Dispatcher& dispatcher_;
   Duration delay_;
-  bool cut_ = false;
+  bool partitioned_ = false;
   std::vector<FollowerPtr> followers_;
   Lifetime lifetime_;
 };
--- a/emulator/platform_handler.cc
+++ b/emulator/platform_handler.cc
@@ -18,13 +18,13 @@
   if (error.ran == Ran::kNo) {
     writer.respond(encode_error(error));
   } else {
-    writer.abort();  // the answer got lost
+    writer.abort();  // emulates a lost response
   }
 }
 
-// Callback that writes a result in its encoded form.
+// @return a callback that encodes a result and writes it as the response.
 template <typename Value, typename Encoder>
-Callback<Value> answer_with(ResponseWriterPtr writer, Encoder encode) {
+Callback<Value> respond_with(ResponseWriterPtr writer, Encoder encode) {
   return [writer = SharedWriter(std::move(writer)), encode](const Expected<Value>& result) {
     if (result) {
       answer(*writer, encode(*result));
@@ -54,7 +54,7 @@
   } else if (request.path.starts_with("/objects/")) {
     handle_object(std::move(request), std::move(writer));
   } else if (request.path == "/machines" && request.method == "GET") {
-    machines_.fetch(answer_with<MachineListSnapshot>(std::move(writer), encode_machine_list));
+    machines_.fetch(respond_with<MachineListSnapshot>(std::move(writer), encode_machine_list));
   } else {
     answer_error(*writer, no_such_path(request));
   }
@@ -67,21 +67,22 @@
       answer_error(*writer, key.error());
       return;
     }
-    table_.read(*key, answer_with<std::optional<Row>>(std::move(writer), encode_read_result));
+    table_.read(*key, respond_with<std::optional<Row>>(std::move(writer), encode_read_result));
   } else if (request.path == "/table/scan") {
     const Expected<ScanRequest> scan = decode_scan_request(request.body);
     if (!scan) {
       answer_error(*writer, scan.error());
       return;
     }
-    table_.scan(*scan, answer_with<ScanPage>(std::move(writer), encode_scan_page));
+    table_.scan(*scan, respond_with<ScanPage>(std::move(writer), encode_scan_page));
   } else if (request.path == "/table/commit") {
     const Expected<Transaction> transaction = decode_transaction(request.body);
     if (!transaction) {
       answer_error(*writer, transaction.error());
       return;
     }
-    table_.commit(*transaction, answer_with<CommitResult>(std::move(writer), encode_commit_result));
+    table_.commit(*transaction,
+                  respond_with<CommitResult>(std::move(writer), encode_commit_result));
   } else {
     answer_error(*writer, no_such_path(request));
   }
@@ -91,12 +92,12 @@
   const std::string name = decode_object_path(request.path);
   if (request.method == "PUT") {
     objects_.put(name, std::make_shared<const std::string>(std::move(request.body)),
-                 answer_with<std::monostate>(std::move(writer), encode_nothing));
+                 respond_with<std::monostate>(std::move(writer), encode_nothing));
   } else if (request.method == "GET") {
     const auto content = [](const EmulatedPlatform::Object& object) { return *object; };
-    objects_.get(name, answer_with<EmulatedPlatform::Object>(std::move(writer), content));
+    objects_.get(name, respond_with<EmulatedPlatform::Object>(std::move(writer), content));
   } else if (request.method == "DELETE") {
-    objects_.remove(name, answer_with<std::monostate>(std::move(writer), encode_nothing));
+    objects_.remove(name, respond_with<std::monostate>(std::move(writer), encode_nothing));
   } else {
     answer_error(*writer, no_such_path(request));
   }
--- a/emulator/platform_handler.h
+++ b/emulator/platform_handler.h
@@ -1,5 +1,5 @@
-// Serves the emulated table, objects and machine list over HTTP. A lost answer closes the
-// connection without one.
+// Serves the emulated table, objects and machine list over HTTP. If a response is lost, the
+// connection is closed without one.
 #pragma once
 
 #include "emulator/emulated_platform.h"
--- a/emulator/run_log.cc
+++ b/emulator/run_log.cc
@@ -9,7 +9,7 @@
 RunLog::RunLog(const std::string& path, const TimeSource& time_source)
     : file_(path, std::ios::app), time_source_(time_source) {
   if (!file_) {
-    throw std::runtime_error("cannot write the run log " + path + "; name a writable file");
+    throw std::runtime_error("cannot write the run log " + path + "; choose a writable file");
   }
 }
 
@@ -20,19 +20,19 @@
 void RunRecorder::arrived(const std::string& attempt, const std::string& request, bool batch,
                           uint64_t step) {
   if (log_ != nullptr) {
-    log_->record(RunArrived{backend_, name_of(attempt), request, batch, step, ""});
+    log_->record(RunArrived{backend_, unique_name(attempt), request, batch, step, ""});
   }
 }
 
 void RunRecorder::admitted(const std::string& attempt, uint64_t step) {
   if (log_ != nullptr) {
-    log_->record(RunAdmitted{backend_, name_of(attempt), step});
+    log_->record(RunAdmitted{backend_, unique_name(attempt), step});
   }
 }
 
 void RunRecorder::ended(const std::string& attempt, RunOutcome outcome, uint64_t step) {
   if (log_ != nullptr) {
-    log_->record(RunEnded{backend_, name_of(attempt), outcome, step});
+    log_->record(RunEnded{backend_, unique_name(attempt), outcome, step});
   }
 }
 
--- a/emulator/run_log.h
+++ b/emulator/run_log.h
@@ -1,4 +1,4 @@
-// Record of what emulated workers and back ends ran, as history events in a JSON Lines file.
+// Records the runs of emulated workers and back ends as history events in a JSON Lines file.
 #pragma once
 
 #include <fstream>
@@ -11,7 +11,7 @@
 
 class RunLog {
  public:
-  // Appends to the file. Throws std::runtime_error when it cannot be written.
+  // Appends to the file. Throws std::runtime_error if it cannot be opened for writing.
   RunLog(const std::string& path, const TimeSource& time_source);
   void record(EventData data);
 
@@ -20,7 +20,7 @@
   const TimeSource& time_source_;
 };
 
-// The log as one worker or back end writes it; without a log it records nothing.
+// Writes the events of one worker or back end to the log; without a log it does nothing.
 class RunRecorder {
  public:
   RunRecorder() = default;
@@ -30,8 +30,8 @@
   void ended(const std::string& attempt, RunOutcome outcome, uint64_t step);
 
  private:
-  // Attempts of different workers never share a name.
-  std::string name_of(const std::string& attempt) const { return attempt + "#" + backend_; }
+  // Makes attempt names unique across workers.
+  std::string unique_name(const std::string& attempt) const { return attempt + "#" + backend_; }
 
   RunLog* log_ = nullptr;
   std::string backend_;
--- a/tests/emulator/emulated_platform_test.cc
+++ b/tests/emulator/emulated_platform_test.cc
@@ -30,7 +30,7 @@
   std::vector<Expected<CommitResult>> commits_;
 };
 
-TEST_F(EmulatedPlatformTest, LostAnswerLeavesTheChangeInPlace) {
+TEST_F(EmulatedPlatformTest, LostResponseKeepsTheChange) {
   EmulatedTableStore store(platform_, node_dispatcher_);
   platform_.table_service().faults.lost_answer_probability = 1;
   commit(store, write("a", "1"));
@@ -52,7 +52,7 @@
   EXPECT_EQ(platform_.table().size(), 0U);
 }
 
-TEST_F(EmulatedPlatformTest, RateLimitTellsWhenToComeBack) {
+TEST_F(EmulatedPlatformTest, RateLimitReturnsRetryAfter) {
   EmulatedTableStore store(platform_, node_dispatcher_);
   platform_.table_service().faults.operations_per_second = 10;
   platform_.table_service().faults.operation_burst = 1;
@@ -69,7 +69,7 @@
   EXPECT_TRUE(commits_[2]);
 }
 
-TEST_F(EmulatedPlatformTest, CutOffNodeReachesNothingWhileOthersDo) {
+TEST_F(EmulatedPlatformTest, PartitionAffectsOnlyItsNode) {
   EmulatedTableStore cut(platform_, node_dispatcher_);
   EmulatedTableStore other(platform_, node_dispatcher_);
   cut.set_reachable(false);
@@ -82,7 +82,7 @@
   EXPECT_FALSE(platform_.table().read({"t", "a"}));
 }
 
-TEST_F(EmulatedPlatformTest, CallerThatGaveUpStillChangesTheTableLater) {
+TEST_F(EmulatedPlatformTest, TimedOutCommitStillTakesEffectLater) {
   EmulatedTableStore store(platform_, node_dispatcher_);
   platform_.table_service().faults.slowness = 3000;  // 3 s one way
   commit(store, write("a", "1"));
@@ -95,7 +95,7 @@
   EXPECT_EQ(commits_.size(), 1U);
 }
 
-TEST_F(EmulatedPlatformTest, RequestOfADeadNodeStillTakesEffect) {
+TEST_F(EmulatedPlatformTest, RequestOfADestroyedClientStillTakesEffect) {
   auto store = std::make_unique<EmulatedTableStore>(platform_, node_dispatcher_);
   commit(*store, write("a", "1"));
   store.reset();
--- a/tests/emulator/engine_model_test.cc
+++ b/tests/emulator/engine_model_test.cc
@@ -52,7 +52,7 @@
   std::deque<RecordingCallbacks> sinks_;
 };
 
-TEST_F(EngineModelTest, AnswerIsTheExpectedOneAndStepsTakeTheirTime) {
+TEST_F(EngineModelTest, GeneratesTheExpectedAnswerWithTheExpectedStepTimes) {
   EngineModel engine = make();
   RecordingCallbacks& answer = sink();
   const MonotonicTime start = clock_.monotonic_now();
@@ -60,13 +60,13 @@
   clock_.run_for(seconds(5));
   ASSERT_TRUE(answer.result);
   EXPECT_EQ(answer.tokens, expected_answer_tokens("m", std::string(400, 'x'), 0));
-  // 4 ms + one sequence + 100 prompt tokens, then 4.2 ms a token.
+  // 4 ms + one sequence + 100 prompt tokens, then 4.2 ms per token.
   EXPECT_EQ(answer.times[0] - start, microseconds(4000 + 200 + 2000));
   EXPECT_EQ(answer.times[1] - answer.times[0], microseconds(4200));
   EXPECT_EQ(engine.load().kv_blocks_used, 0U);
 }
 
-TEST_F(EngineModelTest, StepUnderWayIsNotInterrupted) {
+TEST_F(EngineModelTest, StepInProgressIsNotInterrupted) {
   EngineModel engine = make();
   RecordingCallbacks& batch = sink();
   RecordingCallbacks& online = sink();
@@ -76,12 +76,12 @@
   engine.submit(request("o", "hello"), online);
   engine.cancel("b");
   clock_.run_for(seconds(5));
-  // The cancelled prompt's step (4.2 ms + 1000 prompt tokens) still runs to its end first.
+  // The step with the cancelled prompt (4.2 ms + 1000 prompt tokens) still completes first.
   EXPECT_EQ(online.times[0] - start, microseconds(24'200 + 4'240));
   EXPECT_TRUE(batch.tokens.empty());
 }
 
-TEST_F(EngineModelTest, OnlinePreemptsBatchWhichPaysItsPrefillAgain) {
+TEST_F(EngineModelTest, OnlinePreemptsBatchWhichIsPrefilledAgain) {
   EngineSettings settings;
   settings.max_running_sequences = 1;
   settings.prefix_cache = false;
@@ -132,7 +132,7 @@
   EXPECT_EQ(engine.load().kv_blocks_used, 0U);
 }
 
-TEST_F(EngineModelTest, ResumedAnswerContinuesWhereTheOtherBrokeOff) {
+TEST_F(EngineModelTest, ResumedAnswerContinuesAfterTheLastToken) {
   EngineModel engine = make();
   const std::vector<std::string> whole = expected_answer_tokens("m", "question", 0);
   GenerateRequest resumed = request("r", "question");
@@ -145,7 +145,7 @@
   EXPECT_EQ(answer.result->completion_tokens, whole.size());
 }
 
-TEST_F(EngineModelTest, ResumedAnswerThatIsWholeGetsOnlyItsEndMark) {
+TEST_F(EngineModelTest, ResumedCompleteAnswerGetsOnlyItsEndMarker) {
   EngineModel engine = make();
   const std::vector<std::string> whole = expected_answer_tokens("m", "question", 0);
   GenerateRequest resumed = request("r", "question");
@@ -159,7 +159,7 @@
   EXPECT_EQ(answer.result->completion_tokens, whole.size());
 }
 
-TEST_F(EngineModelTest, KilledEngineBreaksStreamsAndRefusesUntilItRestarts) {
+TEST_F(EngineModelTest, KilledEngineAbortsStreamsAndRefusesUntilRestart) {
   EngineModel engine = make();
   RecordingCallbacks& answer = sink();
   engine.submit(request("a", "hello"), answer);
@@ -174,7 +174,7 @@
   EXPECT_FALSE(engine.submit(request("c", "hello"), sink()));
 }
 
-TEST_F(EngineModelTest, FrozenEngineContinuesAfterTheThaw) {
+TEST_F(EngineModelTest, FrozenEngineContinuesWhenUnfrozen) {
   EngineModel engine = make();
   RecordingCallbacks& answer = sink();
   engine.submit(request("a", "hello"), answer);
--- a/tests/emulator/handlers_test.cc
+++ b/tests/emulator/handlers_test.cc
@@ -1,4 +1,4 @@
-// The emulator's HTTP handlers, driven without sockets.
+// Tests the emulator's HTTP handlers without sockets.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -71,7 +71,7 @@
   Exchange exchange_;
 };
 
-TEST_F(HandlersTest, StreamHoldsTheWholeAnswerAndTheEndMark) {
+TEST_F(HandlersTest, StreamContainsTheCompleteAnswerAndTheEndMarker) {
   send(handler_, "POST", "/generate", generate_body(), exchange_);
   clock_.run_for(seconds(5));
   EXPECT_TRUE(exchange_.finished);
@@ -107,7 +107,7 @@
   EXPECT_EQ(engine_.counters().cancelled_sequences, 1U);
 }
 
-TEST_F(HandlersTest, FrozenEngineAnswersNothingUntilItThaws) {
+TEST_F(HandlersTest, FrozenEngineRespondsOnlyWhenUnfrozen) {
   handler_.set_frozen(true);
   send(handler_, "GET", "/load", "", exchange_);
   clock_.run_for(seconds(5));
@@ -116,7 +116,7 @@
   EXPECT_TRUE(exchange_.finished);
 }
 
-TEST_F(HandlersTest, LostAnswerOfTheStoreClosesTheConnection) {
+TEST_F(HandlersTest, LostStoreResponseClosesTheConnection) {
   EmulatedPlatform platform(clock_, dispatcher_, random_);
   platform.table_service().faults.lost_answer_probability = 1;
   PlatformHandler platform_handler(platform, dispatcher_);
@@ -137,7 +137,7 @@
   }
 }
 
-TEST(FleetSettingsTest, UnknownKeyIsNamedWithItsLine) {
+TEST(FleetSettingsTest, UnknownKeyIsReportedWithItsLine) {
   const TemporaryFolder folder;
   const std::string path = folder.path() + "/fleet.toml";
   std::ofstream(path) << "seed = 3\n[engine]\nstep_bass_ms = 4\n";
