--- a/scale/control_meter.h
+++ b/scale/control_meter.h
@@ -1,4 +1,4 @@
-// Counts what a node sends, receives and computes for control, by kind of message.
+// Counts the control-plane messages, bytes and CPU time of a node by kind of message.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
   uint64_t messages = 0;
   uint64_t bytes_sent = 0;  // protocol headers included, partly estimated (see kCallPacketBytes)
   uint64_t bytes_received = 0;
-  uint64_t cpu_nanoseconds = 0;  // spent in the handler of the message or of its answer
+  uint64_t cpu_nanoseconds = 0;  // spent in the handler of the message or of its response
 
   void add(const MessageTally& other) {
     messages += other.messages;
@@ -21,20 +21,20 @@
   }
 };
 
-// IP and TCP headers of an HTTP call on a kept-alive connection, each way: a segment and an
-// acknowledgement of 52 bytes. An estimate; everything else is counted.
+// IP and TCP headers of an HTTP call on a keep-alive connection, in each direction: one segment and
+// one acknowledgement with 52 bytes of headers each. An estimate; all other bytes are counted.
 constexpr uint64_t kCallPacketBytes = 104;
 
 class ControlMeter {
  public:
-  MessageTally& of(const std::string& kind) { return tallies_[kind]; }
+  MessageTally& tally(const std::string& kind) { return tallies_[kind]; }
   const std::map<std::string, MessageTally>& tallies() const { return tallies_; }
 
  private:
   std::map<std::string, MessageTally> tallies_;
 };
 
-// Adds the thread's processor time between construction and destruction to a tally.
+// Adds the thread's CPU time between construction and destruction to a tally.
 class CpuScope {
  public:
   explicit CpuScope(MessageTally& tally);
--- a/scale/hollow_node.h
+++ b/scale/hollow_node.h
@@ -1,5 +1,5 @@
-// A whole node that shares its process and event loop with others. It runs all roles over real
-// sockets; only callers are missing.
+// A complete node that shares its process and event loop with other nodes, for scale tests. It
+// performs all roles over real sockets, but serves no callers.
 #pragma once
 
 #include "scale/control_meter.h"
@@ -20,7 +20,7 @@
 
 class HollowNode {
  public:
-  // @param platform address of table, objects and machine list.
+  // @param platform address of the table, object store and machine list.
   HollowNode(const NodeIdentity& identity, const Address& platform, EventDispatcher& dispatcher);
 
   void start() { node_.start(); }
--- a/scale/hollow_process.cc
+++ b/scale/hollow_process.cc
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-constexpr Duration kWatchInterval = std::chrono::milliseconds(50);
+constexpr Duration kPollInterval = std::chrono::milliseconds(50);
 constexpr uint32_t kNodesPerSubnet = 200;
 
 double monotonic_seconds() {
@@ -37,7 +37,7 @@
   return resident_pages * static_cast<uint64_t>(sysconf(_SC_PAGESIZE));
 }
 
-// Value of the only parameter of a query "name=value".
+// @return the value of a query with a single parameter, "name=value"; 0 if it is malformed.
 size_t query_number(const std::string& query) {
   const size_t equals = query.find('=');
   size_t number = 0;
@@ -47,7 +47,7 @@
   return number;
 }
 
-NodeIdentity identity_of(const HollowSettings& settings, uint32_t index) {
+NodeIdentity make_identity(const HollowSettings& settings, uint32_t index) {
   NodeIdentity identity;
   identity.id = "hollow-" + std::to_string(index);
   const std::string ip = "127.0." + std::to_string(10 + index / kNodesPerSubnet) + "." +
@@ -67,17 +67,17 @@
     : settings_(settings),
       dispatcher_(dispatcher),
       control_server_(dispatcher, settings.control, *this),
-      watch_timer_(dispatcher.create_timer([this] { watch(); })) {
-  watch_timer_->enable(kWatchInterval);
+      poll_timer_(dispatcher.create_timer([this] { poll(); })) {
+  poll_timer_->enable(kPollInterval);
 }
 
 void HollowProcess::add_node(uint32_t index) {
-  nodes_.push_back(
-      std::make_unique<HollowNode>(identity_of(settings_, index), settings_.platform, dispatcher_));
+  nodes_.push_back(std::make_unique<HollowNode>(make_identity(settings_, index), settings_.platform,
+                                                dispatcher_));
   HollowNode& node = *nodes_.back();
   node.node().configuration().subscribe([this](const ConfigurationPtr& configuration) {
-    in_force_at_[configuration->version] = monotonic_seconds();
-    ++in_force_on_[configuration->version];
+    applied_at_[configuration->version] = monotonic_seconds();
+    ++nodes_applied_[configuration->version];
   });
   node.start();
 }
@@ -93,9 +93,10 @@
   writer->respond(response);
 }
 
-void HollowProcess::watch() {
-  watch_timer_->enable(kWatchInterval);
-  // One after another, as machines come up; all at once would measure the platform's stand-in.
+void HollowProcess::poll() {
+  poll_timer_->enable(kPollInterval);
+  // Nodes start one by one, as real machines do. Starting all at once would measure the emulated
+  // platform instead.
   if (started_nodes_ < settings_.count) {
     add_node(settings_.first_index + started_nodes_);
     ++started_nodes_;
@@ -119,7 +120,7 @@
   settled_at_.reset();
 }
 
-// Destroys nodes without a word to anybody, as a lost machine would go.
+// Destroys nodes without notifying other nodes, as in a machine failure.
 void HollowProcess::kill(size_t count) {
   for (size_t killed = 0; killed < count && !nodes_.empty(); ++killed) {
     nodes_.erase(nodes_.begin());
@@ -145,8 +146,8 @@
                    {"cpu_microseconds", sum.cpu_nanoseconds / 1000}};
   }
   json in_force = json::object();
-  for (const auto& [version, at] : in_force_at_) {
-    in_force[std::to_string(version)] = {{"at", at}, {"nodes", in_force_on_.at(version)}};
+  for (const auto& [version, at] : applied_at_) {
+    in_force[std::to_string(version)] = {{"at", at}, {"nodes", nodes_applied_.at(version)}};
   }
   json result = {{"time", monotonic_seconds()},
                  {"nodes", nodes_.size()},
--- a/scale/hollow_process.h
+++ b/scale/hollow_process.h
@@ -1,4 +1,4 @@
-// Many hollow nodes in one process, with an HTTP interface for the rig that drives them.
+// Runs many hollow nodes in one process, with an HTTP control interface for the scale test.
 #pragma once
 
 #include <map>
@@ -12,13 +12,13 @@
 namespace chalkshed {
 
 struct HollowSettings {
-  uint32_t first_index = 0;  // of this process's nodes, over all processes
+  uint32_t first_index = 0;  // index of this process's first node, unique across processes
   uint32_t count = 0;
   uint32_t regions = 1;
   uint32_t zones = 1;
-  uint16_t port = 0;  // of every node, UDP and TCP; nodes differ in their loopback address
+  uint16_t port = 0;  // UDP and TCP port of every node; nodes have different loopback addresses
   Address platform;
-  Address control;  // of the rig's interface
+  Address control;  // address of the HTTP control interface
 };
 
 // Serves GET /report, POST /expect?nodes=<count> and POST /kill?count=<count>.
@@ -30,9 +30,9 @@
 
  private:
   void add_node(uint32_t index);
-  // Starts the nodes one by one. Notes when the views first held the expected number of members and
-  // when versions came in force.
-  void watch();
+  // Runs periodically: starts the next node, and records when all membership views first contained
+  // the expected number of members.
+  void poll();
   bool settled() const;
   void expect(size_t nodes);
   void kill(size_t count);
@@ -44,11 +44,11 @@
   uint32_t started_nodes_ = 0;
   size_t expected_members_ = 0;
   std::optional<double> settled_at_;  // seconds on the monotonic clock
-  // When the last node of this process had put a version in force.
-  std::map<ConfigurationVersion, double> in_force_at_;
-  std::map<ConfigurationVersion, size_t> in_force_on_;
+  // Time at which the most recent node of this process applied a version, on the monotonic clock.
+  std::map<ConfigurationVersion, double> applied_at_;
+  std::map<ConfigurationVersion, size_t> nodes_applied_;
   HttpServer control_server_;
-  TimerPtr watch_timer_;
+  TimerPtr poll_timer_;
 };
 
 }  // namespace chalkshed
--- a/scale/metered_transport.cc
+++ b/scale/metered_transport.cc
@@ -7,9 +7,9 @@
 namespace chalkshed {
 namespace {
 
-// Status line and the headers that the library adds by itself.
+// Status line and the headers that the HTTP library adds.
 constexpr uint64_t kResponseHeadBytes = 100;
-constexpr uint64_t kHeaderSeparatorBytes = 4;  // ": " and line end
+constexpr uint64_t kHeaderSeparatorBytes = 4;  // ": " and CRLF
 
 uint64_t header_bytes(const HttpHeaders& headers) {
   uint64_t bytes = 0;
@@ -29,7 +29,7 @@
   return kResponseHeadBytes + response.body.size() + kCallPacketBytes;
 }
 
-// Object names differ in every call; only the service counts.
+// Object names differ in every call, so all object paths are one kind.
 std::string kind_of_path(const std::string& prefix, const std::string& path) {
   const std::string objects = "/objects/";
   const std::string short_path = path.starts_with(objects) ? "/objects" : path;
@@ -41,7 +41,7 @@
   return "membership/" + std::string(kind ? datagram_kind_name(*kind) : "malformed");
 }
 
-// Counts the body of an answer as it is written.
+// Counts the bytes of a response as they are written.
 class MeteredWriter : public ResponseWriter {
  public:
   MeteredWriter(ResponseWriterPtr inner, MessageTally& tally)
@@ -70,7 +70,7 @@
 }  // namespace
 
 void MeteredDatagramTransport::send(const Address& to, std::string_view datagram) {
-  MessageTally& tally = meter_.of(datagram_kind(datagram));
+  MessageTally& tally = meter_.tally(datagram_kind(datagram));
   tally.messages += 1;
   tally.bytes_sent += datagram.size() + kDatagramOverheadBytes;
   inner_.send(to, datagram);
@@ -83,7 +83,7 @@
   }
   inner_.set_receiver(
       [this, receiver = std::move(receiver)](const Address& from, std::string_view datagram) {
-        MessageTally& tally = meter_.of(datagram_kind(datagram));
+        MessageTally& tally = meter_.tally(datagram_kind(datagram));
         tally.bytes_received += datagram.size() + kDatagramOverheadBytes;
         const CpuScope scope(tally);
         receiver(from, datagram);
@@ -97,7 +97,7 @@
 
 void MeteredHttpClient::fetch(const Address& server, const HttpRequest& request,
                               const HttpCallOptions& options, Callback<HttpResponse> callback) {
-  MessageTally& tally = meter_.of(kind_of_path(prefix_, request.path));
+  MessageTally& tally = meter_.tally(kind_of_path(prefix_, request.path));
   tally.messages += 1;
   tally.bytes_sent += request_bytes(request);
   inner_.fetch(server, request, options,
@@ -111,7 +111,7 @@
 }
 
 void MeteredPeerHandler::handle(HttpRequest request, ResponseWriterPtr writer) {
-  MessageTally& tally = meter_.of("served" + request.path);
+  MessageTally& tally = meter_.tally("served" + request.path);
   tally.messages += 1;
   tally.bytes_received += request_bytes(request);
   const CpuScope scope(tally);
--- a/scale/metered_transport.h
+++ b/scale/metered_transport.h
@@ -1,4 +1,4 @@
-// Transports that count what passes through them and hand it on.
+// Transport decorators that count messages and bytes.
 #pragma once
 
 #include <string>
@@ -23,10 +23,11 @@
   ControlMeter& meter_;
 };
 
-// Counts fetch(), which carries all control; streams of callers' work pass uncounted.
+// Counts fetch(), which carries all control-plane calls. Streams opened with send() carry caller
+// requests and are not counted.
 class MeteredHttpClient : public HttpClient {
  public:
-  // @param prefix of the kinds, e.g. "platform".
+  // @param prefix prefix of the message kinds, e.g. "platform".
   MeteredHttpClient(HttpClient& inner, ControlMeter& meter, std::string prefix)
       : inner_(inner), meter_(meter), prefix_(std::move(prefix)) {}
   HttpCallPtr send(const Address& server, const HttpRequest& request,
@@ -40,7 +41,7 @@
   std::string prefix_;
 };
 
-// Counts the peer calls that a node serves.
+// Counts the peer calls that a node handles.
 class MeteredPeerHandler : public HttpHandler {
  public:
   MeteredPeerHandler(HttpHandler& inner, ControlMeter& meter) : inner_(inner), meter_(meter) {}
