--- a/apps/chalkshed_choice_bench_main.cc
+++ b/apps/chalkshed_choice_bench_main.cc
@@ -55,9 +55,9 @@
     workers.add_peer_load(worker, 1, 0);
     workers.add_peer_load(worker, -1, 0);
   });
-  PlaceRequest request;
+  SlotRequest request;
   request.service = "engines";
-  const double choice = time_calls([&](int /*round*/) { workers.take_place(request); });
+  const double choice = time_calls([&](int /*round*/) { workers.acquire_slot(request); });
   std::cout << nlohmann::json{{"workers", worker_count},
                               {"load_ns", load / 2},
                               {"choice_ns", choice}}
--- a/src/jobs/job_item_run.cc
+++ b/src/jobs/job_item_run.cc
@@ -43,8 +43,8 @@
   return "broken";
 }
 
-JobItemRun::JobItemRun(JobEnvironment& environment, const ServingRequest& item,
-                       WorkerPlacePtr place, ItemProgress& progress, OnEnd on_end)
+JobItemRun::JobItemRun(JobEnvironment& environment, const ServingRequest& item, WorkerSlotPtr place,
+                       ItemProgress& progress, OnEnd on_end)
     : progress_(progress), on_end_(std::move(on_end)), worker_(place->worker().record.incarnation) {
   WorkerSend send;
   send.request = &item;
--- a/src/jobs/owned_job.cc
+++ b/src/jobs/owned_job.cc
@@ -145,13 +145,13 @@
     end_item(*item, ItemState::kErrored);
     return true;
   }
-  PlaceRequest wanted;
+  SlotRequest wanted;
   wanted.service = environment_.draw.draw(*route);
   wanted.work = WorkClass::kBatch;
   wanted.repeatable = true;
   wanted.request = &item->request;
   wanted.urgency = urgency_of(*item);
-  WorkerPlacePtr place = environment_.serving.workers.take_place(wanted);
+  WorkerSlotPtr place = environment_.serving.workers.acquire_slot(wanted);
   if (!place) {
     return false;
   }
--- a/src/serving/request_relay.cc
+++ b/src/serving/request_relay.cc
@@ -70,7 +70,7 @@
 }
 
 bool RequestRelay::end_if_held() {
-  if (!environment_.quarantine.holds(request_.digest)) {
+  if (!environment_.quarantine.refuses(request_.digest)) {
     return false;
   }
   if (runs_ > 0) {
@@ -98,7 +98,7 @@
   if (waits_for_turn_ || permit == run_permit::kQuarantined) {
     return false;
   }
-  PlaceRequest wanted;
+  SlotRequest wanted;
   wanted.alone = permit != run_permit::kFree;
   wanted.service = service_;
   wanted.request = &request_;
@@ -106,12 +106,12 @@
   wanted.even_if_full = even_if_full;
   // One more run must be left behind the one that it begins.
   wanted.repeatable = is_repeatable(route_) && runs_ + 1 < route_.attempts;
-  WorkerPlacePtr place = environment_.workers.take_place(wanted);
+  WorkerSlotPtr place = environment_.workers.acquire_slot(wanted);
   if (!place) {
     return false;
   }
   worker_ = place->worker().record.incarnation;
-  expected_reading_ = environment_.workers.reading_time(place->worker());
+  expected_reading_ = environment_.workers.prefill_backlog(place->worker());
   tried_.insert(worker_);
   WorkerSend worker_send;
   worker_send.request = &request_;
@@ -401,7 +401,7 @@
        {"runs", std::to_string(runs_)},
        {"refusals", std::to_string(refusals_)},
        {"connection_use", attempt_ ? std::to_string(attempt_->call().connection_use()) : ""},
-       {"free_places", std::to_string(environment_.workers.free_places(service_))},
+       {"free_places", std::to_string(environment_.workers.free_slots(service_))},
        {"elapsed_ms", milliseconds_text(elapsed())},
        {"left_ms", milliseconds_text(time_left())},
        {"reason", reason}});
--- a/src/serving/serving_gateway.cc
+++ b/src/serving/serving_gateway.cc
@@ -47,12 +47,12 @@
   if (!started.waiting()) {
     note_placed(relays_.at(id));
   }
-  const size_t places = environment_.workers.free_places(started.service());
+  const size_t places = environment_.workers.free_slots(started.service());
   const size_t short_of = waiting();
   if (started.waiting() && short_of > places && on_short_of_places_) {
     on_short_of_places_(short_of - places);
   } else if (started.waiting()) {
-    environment_.dispatcher.post(lifetime_.guard([this] { place_waiting(); }));
+    environment_.dispatcher.post(lifetime_.guard([this] { dispatch_waiting(); }));
   }
 }
 
@@ -84,7 +84,7 @@
   }));
 }
 
-void ServingGateway::place_waiting() {
+void ServingGateway::dispatch_waiting() {
   if (placing_) {
     return;  // sending may itself free a place
   }
--- a/src/serving/serving_gateway.h
+++ b/src/serving/serving_gateway.h
@@ -30,11 +30,11 @@
   bool any_waiting() const { return waiting() > 0; }
   size_t waiting() const;
   // Called when requests wait for more places than are free; told how many more.
-  void set_on_short_of_places(std::function<void(size_t)> callback) {
+  void set_on_slot_shortage(std::function<void(size_t)> callback) {
     on_short_of_places_ = std::move(callback);
   }
   // A place may have become free.
-  void place_waiting();
+  void dispatch_waiting();
 
  private:
   struct InProgress {
--- a/src/serving/worker_attempt.cc
+++ b/src/serving/worker_attempt.cc
@@ -14,7 +14,7 @@
 
 WorkerAttempt::WorkerAttempt(TimeSource& time_source, HttpClient& client,
                              const ServingProtocol& protocol, WorkerSet& workers,
-                             request_quarantine& quarantine, WorkerPlacePtr place,
+                             request_quarantine& quarantine, WorkerSlotPtr place,
                              const WorkerSend& send, const AttemptOptions& options,
                              AttemptObserver& observer)
     : time_source_(time_source),
@@ -28,7 +28,7 @@
       observer_(observer),
       sent_(time_source.monotonic_now()),
       last_activity_(sent_),
-      note_over_(quarantine.note_begun(request_.digest)) {
+      note_over_(quarantine.note_started(request_.digest)) {
   HttpCallOptions call_options;
   call_options.pool = options.pool;
   call_options.connect_timeout = options.connect_timeout;
--- a/src/serving/worker_attempt.h
+++ b/src/serving/worker_attempt.h
@@ -50,7 +50,7 @@
 class WorkerAttempt : private HttpCallCallbacks {
  public:
   WorkerAttempt(TimeSource& time_source, HttpClient& client, const ServingProtocol& protocol,
-                WorkerSet& workers, request_quarantine& quarantine, WorkerPlacePtr place,
+                WorkerSet& workers, request_quarantine& quarantine, WorkerSlotPtr place,
                 const WorkerSend& send, const AttemptOptions& options, AttemptObserver& observer);
   // Closes the connection unless the answer has ended; the worker then stops.
   ~WorkerAttempt() override;
@@ -80,7 +80,7 @@
   const ServingProtocol& protocol_;
   WorkerSet& workers_;
   request_quarantine& quarantine_;
-  WorkerPlacePtr place_;
+  WorkerSlotPtr place_;
   const ServingRequest& request_;
   const bool streaming_;
   const Duration silence_timeout_;
--- a/src/serving/worker_set.cc
+++ b/src/serving/worker_set.cc
@@ -38,19 +38,19 @@
 
 }  // namespace
 
-WorkerPlace::WorkerPlace(WorkerPtr worker, WorkClass work, std::function<void()> on_freed)
+WorkerSlot::WorkerSlot(WorkerPtr worker, WorkClass work, std::function<void()> on_freed)
     : worker_(std::move(worker)), work_(work), on_freed_(std::move(on_freed)) {
   count(1);
 }
 
-WorkerPlace::~WorkerPlace() {
+WorkerSlot::~WorkerSlot() {
   count(-1);
   if (on_freed_) {
     on_freed_();
   }
 }
 
-void WorkerPlace::count(int change) {
+void WorkerSlot::count(int change) {
   const bool online = work_ == WorkClass::kOnline;
   (online ? worker_->online_in_flight : worker_->batch_in_flight) += static_cast<uint32_t>(change);
   (online ? worker_->counts->online : worker_->counts->own_batch) += change;
@@ -376,7 +376,7 @@
   return names;
 }
 
-uint32_t WorkerSet::free_places(std::string_view name) const {
+uint32_t WorkerSet::free_slots(std::string_view name) const {
   const Service* service = find_service(name);
   return service == nullptr ? 0 : load_of_service(*service).free;
 }
@@ -389,7 +389,7 @@
   return choice.request.even_if_full || load_at(worker, choice.now) < worker.record.slots;
 }
 
-Duration WorkerSet::reading_time(const ServingWorker& worker) const {
+Duration WorkerSet::prefill_backlog(const ServingWorker& worker) const {
   return std::max(worker.reading_until - time_source_.monotonic_now(), Duration(0));
 }
 
@@ -417,7 +417,7 @@
   return milliseconds;
 }
 
-WorkerSet::PrefixOwners WorkerSet::prefix_owners(const PlaceRequest& request,
+WorkerSet::PrefixOwners WorkerSet::prefix_owners(const SlotRequest& request,
                                                  const Service& service) const {
   if (request.request == nullptr || shared_tokens(*request.request) < knobs_.least_shared_tokens) {
     return {};
@@ -459,7 +459,7 @@
   return choice.request.repeatable || !worker.outcomes.suspect(choice.now);
 }
 
-bool WorkerSet::tried(const ServingWorker& worker, const PlaceRequest& request) {
+bool WorkerSet::tried(const ServingWorker& worker, const SlotRequest& request) {
   return request.tried != nullptr && request.tried->contains(worker.record.incarnation);
 }
 
@@ -498,7 +498,7 @@
   return best;
 }
 
-WorkerPlacePtr WorkerSet::take_place(const PlaceRequest& request) {
+WorkerSlotPtr WorkerSet::acquire_slot(const SlotRequest& request) {
   Service& service = service_of(request.service);
   const MonotonicTime now = time_source_.monotonic_now();
   const bool online = request.work == WorkClass::kOnline;
@@ -515,12 +515,12 @@
   return worker ? make_place(std::move(worker), choice) : nullptr;
 }
 
-WorkerPlacePtr WorkerSet::make_place(WorkerPtr worker, const Choice& choice) {
-  const PlaceRequest& request = choice.request;
+WorkerSlotPtr WorkerSet::make_place(WorkerPtr worker, const Choice& choice) {
+  const SlotRequest& request = choice.request;
   const double kept = kept_tokens(choice, *worker);
   const double tokens =
       request.request == nullptr ? 0.0 : std::max(request.request->prompt_tokens - kept, 0.0);
-  const bool was_idle = reading_time(*worker) == Duration(0);
+  const bool was_idle = prefill_backlog(*worker) == Duration(0);
   worker->prompt_tokens_sent += static_cast<uint32_t>(tokens);
   const bool many = ++places_taken_ % knobs_.notable_places == 0;
   notable_changes_ += many || tokens >= knobs_.long_prompt_tokens ? 1 : 0;
@@ -530,8 +530,8 @@
     cold_limit_.note_sent(worker->cold, choice.service.cold, choice.now);
   }
   // A place may outlive this node's parts: its request is destroyed in a later turn of the loop.
-  auto place = std::make_unique<WorkerPlace>(std::move(worker), request.work,
-                                             lifetime_.guard([this] { note_place_freed(); }));
+  auto place = std::make_unique<WorkerSlot>(std::move(worker), request.work,
+                                            lifetime_.guard([this] { note_place_freed(); }));
   place->worker_was_idle = was_idle;
   if (request.work == WorkClass::kOnline) {
     observe_online(service_of(request.service));
@@ -584,7 +584,7 @@
 
 void WorkerSet::note_replaced(ServingWorker& worker) {
   worker.replaced = true;
-  worker.avoided_until = time_source_.monotonic_now() + knobs_.outcomes.longest_pause;
+  worker.avoided_until = time_source_.monotonic_now() + knobs_.outcomes.max_backoff;
 }
 
 }  // namespace chalkshed
--- a/src/serving/worker_set.h
+++ b/src/serving/worker_set.h
@@ -86,13 +86,13 @@
 using WorkerPtr = std::shared_ptr<ServingWorker>;
 
 // A place at a worker that a request of this node takes; giving it up frees it.
-class WorkerPlace {
+class WorkerSlot {
  public:
   // @param on_freed called when it is given up.
-  WorkerPlace(WorkerPtr worker, WorkClass work, std::function<void()> on_freed);
-  ~WorkerPlace();
-  WorkerPlace(const WorkerPlace&) = delete;
-  WorkerPlace& operator=(const WorkerPlace&) = delete;
+  WorkerSlot(WorkerPtr worker, WorkClass work, std::function<void()> on_freed);
+  ~WorkerSlot();
+  WorkerSlot(const WorkerSlot&) = delete;
+  WorkerSlot& operator=(const WorkerSlot&) = delete;
   ServingWorker& worker() const { return *worker_; }
   // Whether the worker had no other prompt to read when the place was taken.
   bool worker_was_idle = false;
@@ -105,10 +105,10 @@
   WorkClass work_;
   std::function<void()> on_freed_;
 };
-using WorkerPlacePtr = std::unique_ptr<WorkerPlace>;
+using WorkerSlotPtr = std::unique_ptr<WorkerSlot>;
 
 // What is wanted of a worker.
-struct PlaceRequest {
+struct SlotRequest {
   std::string service;
   WorkClass work = WorkClass::kOnline;
   const ServingRequest* request = nullptr;
@@ -136,7 +136,7 @@
   void reject(const std::string& incarnation);
 
   // @return a place, or null when no worker may take the request now.
-  WorkerPlacePtr take_place(const PlaceRequest& request);
+  WorkerSlotPtr acquire_slot(const SlotRequest& request);
 
   // The operator wants nothing more sent to the workers of that zone, also those that are listed
   // later, or wants it again. @return how many workers are listed there.
@@ -183,14 +183,14 @@
   void note_replaced(ServingWorker& worker);  // another worker has its address
 
   // Called whenever a place at any worker becomes free or a worker appears.
-  void set_on_place_freed(std::function<void()> callback) { on_place_freed_ = std::move(callback); }
+  void set_on_slot_freed(std::function<void()> callback) { on_place_freed_ = std::move(callback); }
   // Called whenever what this node has in flight changes.
   void set_on_load_changed(std::function<void()> callback) {
     on_load_changed_ = std::move(callback);
   }
 
   // Places of the service that are free by this node's view.
-  uint32_t free_places(std::string_view service) const;
+  uint32_t free_slots(std::string_view service) const;
   bool knows(std::string_view service) const;
   // How many batch runs of this node at the service should stop now, in the mean.
   double batch_runs_to_stop(const std::string& service);
@@ -206,7 +206,7 @@
   // @return the worker of that hash, or null.
   WorkerPtr find_hash(uint64_t hash) const;
   // Time until the worker has read all prompts that were sent there, as far as known.
-  Duration reading_time(const ServingWorker& worker) const;
+  Duration prefill_backlog(const ServingWorker& worker) const;
   // All requests at the worker, of all nodes, as far as known.
   uint32_t load_of(const ServingWorker& worker) const;
 
@@ -222,7 +222,7 @@
   using PrefixOwners = std::vector<const ServingWorker*>;
   // One choice of a worker: what is wanted, and what all candidates are judged by.
   struct Choice {
-    const PlaceRequest& request;
+    const SlotRequest& request;
     const Service& service;
     MonotonicTime now;
     PrefixOwners owners;
@@ -247,18 +247,18 @@
   // Milliseconds until the first token of the request, roughly.
   // @param kept tokens of its prompt that the worker need not read again.
   double cost(const ServingWorker& worker, const Choice& choice, double kept) const;
-  PrefixOwners prefix_owners(const PlaceRequest& request, const Service& service) const;
+  PrefixOwners prefix_owners(const SlotRequest& request, const Service& service) const;
   // Tokens of the prompt that the worker likely need not read again.
   double kept_tokens(const Choice& choice, const ServingWorker& worker) const;
   void add_reading(ServingWorker& worker, double tokens);
   static bool sound(const ServingWorker& worker, const Choice& choice);
-  static bool tried(const ServingWorker& worker, const PlaceRequest& request);
+  static bool tried(const ServingWorker& worker, const SlotRequest& request);
   // Whether a sound worker exists that was not asked before, with room or without.
   static bool any_sound(const Choice& choice);
   WorkerPtr choose(const Choice& choice, bool ignore_failures);
   // What decides among workers; the least is chosen. @param cost in milliseconds.
   double rank_of(const ServingWorker& worker, double cost);
-  WorkerPlacePtr make_place(WorkerPtr worker, const Choice& choice);
+  WorkerSlotPtr make_place(WorkerPtr worker, const Choice& choice);
   void note_active(const ServingWorker& worker);
   // Drops the workers whose records have been gone for too long.
   void forget_old();
--- a/tests/cold_start/cold_start_limit_test.cc
+++ b/tests/cold_start/cold_start_limit_test.cc
@@ -227,12 +227,12 @@
         record.cold_left = cold_left;
         workers.update(record);
     }
-    WorkerPlacePtr take(WorkClass work = WorkClass::kOnline, bool even_if_full = false) {
-        PlaceRequest request;
+    WorkerSlotPtr take(WorkClass work = WorkClass::kOnline, bool even_if_full = false) {
+        SlotRequest request;
         request.service = "engines";
         request.work = work;
         request.even_if_full = even_if_full;
-        return workers.take_place(request);
+        return workers.acquire_slot(request);
     }
     static WorkerKnobs knobs() {
         WorkerKnobs knobs;
@@ -261,7 +261,7 @@
     list("cold", seconds(30));
     list("warm", Duration(0));
     clock.run_for(seconds(1));
-    std::vector<WorkerPlacePtr> places;
+    std::vector<WorkerSlotPtr> places;
     for (int index = 0; index < 8; ++index) {
         places.push_back(take());
         EXPECT_EQ(places.back()->worker().record.incarnation, "warm");
@@ -286,7 +286,7 @@
     for (int index = 0; index < 9; ++index) {
         list("cold-" + std::to_string(index), seconds(30));
     }
-    EXPECT_EQ(workers.free_places("engines"), 8U);
+    EXPECT_EQ(workers.free_slots("engines"), 8U);
 }
 
 TEST_F(ColdWorkerTest, AWorkerThatTurnsColdAgainIsLimitedAgain) {
--- a/tests/jobs/stale_view_test.cc
+++ b/tests/jobs/stale_view_test.cc
@@ -7,7 +7,7 @@
 #include "chalkshed/row_handover.h"
 #include "src/jobs/job_rows.h"
 #include "tests/jobs/ended_job_fixture.h"
-#include "tests/serving/partly_deaf_node.h"
+#include "tests/serving/changes_blocked_node.h"
 
 namespace chalkshed {
 namespace {
@@ -64,7 +64,7 @@
 // when the load has ended.
 TEST_F(StaleViewTest, ATakeoverIsAsOldAsItsWriteNotAsItsLoad) {
   ServingCluster cluster(2);
-  PartlyDeafNode taker(cluster, "n8");
+  ChangesBlockedNode taker(cluster, "n8");
   cluster.clock.run_for(seconds(1));
   begin_job(cluster);
   cluster.peers_answer = false;
@@ -80,7 +80,7 @@
     cluster.clock.run_for(milliseconds(10));
   }
   ASSERT_EQ(epoch(), 2U);
-  taker.store.deaf = true;
+  taker.store.block_changes = true;
   cluster.nodes.at("n1")->dispatcher.thaw();
   cluster.clock.run_for(milliseconds(100));
   const MonotonicTime acknowledged = end_job(cluster, "n1");
@@ -143,7 +143,7 @@
 TEST_F(StaleViewTest, AnItemThatWaitedStartsSoonAlsoWhereEndsAreToActSooner) {
   ServingCluster cluster(0, 1);
   ServingNodeKnobs knobs;
-  knobs.jobs.longest_view_age = milliseconds(500);  // bounds.cancel_ms=1500 or less
+  knobs.jobs.max_view_age = milliseconds(500);  // bounds.cancel_ms=1500 or less
   cluster.nodes["n0"] = std::make_unique<ClusterNode>(cluster.clock, cluster.shared,
                                                       cluster.workers, cluster.hub, "n0", 1, knobs);
   cluster.start_node("n1");
@@ -173,7 +173,7 @@
 // down.
 TEST_F(StaleViewTest, AJobStartsWhileTheStoreAnswersItsOwnersTransactions) {
   ServingCluster cluster(2, 1);
-  PartlyDeafNode owner(cluster, "n8");
+  ChangesBlockedNode owner(cluster, "n8");
   cluster.clock.run_for(seconds(1));
   for (int number = 0; number < 4; ++number) {
     cluster.request("/fixed/x", "r" + std::to_string(number));
@@ -183,7 +183,7 @@
   });
   cluster.clock.run_for(milliseconds(300));
   ASSERT_TRUE(accepted_);
-  owner.store.deaf = true;
+  owner.store.block_changes = true;
   cluster.clock.run_for(seconds(4));
   ASSERT_EQ(cluster.workers.calls.size(), 4U);
   for (ScriptedCall& call : cluster.workers.calls) {
--- a/tests/load_relay/load_digest_test.cc
+++ b/tests/load_relay/load_digest_test.cc
@@ -142,15 +142,15 @@
   const uint32_t hash = hash_of("i-1");
   ServingWorker& worker = add_worker("i-1");
   loads.add_prompts(workers, {{hash, 1, 0, 60000}}, &total);
-  EXPECT_EQ(workers.reading_time(worker), Duration(0));
+  EXPECT_EQ(workers.prefill_backlog(worker), Duration(0));
   loads.add_prompts(workers, {{hash, 1, 0, 4}}, &total);  // the counter has wrapped
   EXPECT_EQ(loads.added_prompts().at(hash), 5540);
   EXPECT_EQ(total[hash], 5540);
-  const Duration reading = workers.reading_time(worker);
+  const Duration reading = workers.prefill_backlog(worker);
   EXPECT_GT(reading, Duration(0));
   loads.add_prompts(workers, {{hash, 1, 0, 4}}, &total);
   loads.add_prompts(workers, {{hash, 1, 0, 2}}, &total);  // of another relay, or reordered
-  EXPECT_EQ(workers.reading_time(worker), reading);
+  EXPECT_EQ(workers.prefill_backlog(worker), reading);
 }
 
 }  // namespace
--- a/tests/node/key_age_test.cc
+++ b/tests/node/key_age_test.cc
@@ -2,7 +2,7 @@
 // sign for that is that the store answers anything at all.
 #include <gtest/gtest.h>
 
-#include "tests/serving/partly_deaf_node.h"
+#include "tests/serving/changes_blocked_node.h"
 
 namespace chalkshed {
 namespace {
@@ -18,8 +18,8 @@
   };
   with_keys(2, {"k1", "k2"});
   ServingNodeKnobs knobs;
-  knobs.longest_unconfirmed = seconds(4);
-  PartlyDeafNode node(cluster, "n8", knobs);
+  knobs.max_unconfirmed_time = seconds(4);
+  ChangesBlockedNode node(cluster, "n8", knobs);
   cluster.clock.run_for(seconds(1));
   const auto allowed = [&](const std::string& key) {
     const RouteTablePtr table = node.node.routes();
@@ -27,7 +27,7 @@
         .has_value();
   };
   ASSERT_TRUE(allowed("k1"));
-  node.store.deaf = true;
+  node.store.block_changes = true;
   with_keys(3, {"k2"});
   for (int second = 0; second < 20; ++second) {
     cluster.clock.run_for(seconds(1));
--- a/tests/online_path/online_path_test.cc
+++ b/tests/online_path/online_path_test.cc
@@ -48,11 +48,11 @@
             worker_set_.update(
                 {"i-" + std::to_string(index), "s", workers_[index].local(), "z", 4, false});
         }
-        worker_set_.set_on_place_freed(
-            [this] { dispatcher_.post([this] { gateway_.place_waiting(); }); });
+        worker_set_.set_on_slot_freed(
+            [this] { dispatcher_.post([this] { gateway_.dispatch_waiting(); }); });
     }
     ~online_path() override {
-        worker_set_.set_on_place_freed(nullptr);
+        worker_set_.set_on_slot_freed(nullptr);
     }
     online_path(const online_path &) = delete;
     online_path &operator=(const online_path &) = delete;
--- a/tests/serving/partly_deaf_node.h
+++ b/tests/serving/changes_blocked_node.h
@@ -6,9 +6,9 @@
 
 namespace chalkshed {
 
-class PartlyDeafStore : public WatchedStore {
+class ChangesBlockedStore : public WatchedStore {
  public:
-  PartlyDeafStore(WatchedStore& inner, Dispatcher& dispatcher)
+  ChangesBlockedStore(WatchedStore& inner, Dispatcher& dispatcher)
       : inner_(inner), dispatcher_(dispatcher) {}
   void read_range(RangeRead range, Callback<RangePage> callback) override {
     call_after(dispatcher_, reads_take,
@@ -18,7 +18,7 @@
                     Callback<TableChanges> callback) override {
     inner_.read_changes(
         std::move(table), since, wait, [this, callback](const Expected<TableChanges>& changes) {
-          if (deaf) {
+          if (block_changes) {
             callback(tl::unexpected(
                 not_run(ErrorKind::kStoreUnavailable, "the answer was lost", "ask again")));
             return;
@@ -29,7 +29,7 @@
   void commit(StoreTransaction transaction, Callback<StoreCommit> callback) override {
     inner_.commit(std::move(transaction), std::move(callback));
   }
-  bool deaf = false;
+  bool block_changes = false;
   Duration reads_take{0};
 
  private:
@@ -37,9 +37,9 @@
   Dispatcher& dispatcher_;
 };
 
-struct PartlyDeafNode {
-  PartlyDeafNode(ServingCluster& cluster, const std::string& name,
-                 const ServingNodeKnobs& knobs = {})
+struct ChangesBlockedNode {
+  ChangesBlockedNode(ServingCluster& cluster, const std::string& name,
+                     const ServingNodeKnobs& knobs = {})
       : address{name, 7660},
         dispatcher(cluster.clock),
         inner(cluster.shared, cluster.clock, dispatcher),
@@ -58,7 +58,7 @@
   NullLogger logger;
   NullMetricsRegistry metrics;
   MemoryWatchedStore inner;
-  PartlyDeafStore store;
+  ChangesBlockedStore store;
   HubDatagrams datagrams;
   NodeCalls calls;
   ServingNode node;
--- a/tests/serving/worker_set_test.cc
+++ b/tests/serving/worker_set_test.cc
@@ -21,12 +21,12 @@
 
 class WorkerSetTest : public testing::Test {
  protected:
-  WorkerPlacePtr take(bool even_if_full = false, WorkClass work = WorkClass::kOnline) {
-    PlaceRequest request;
+  WorkerSlotPtr take(bool even_if_full = false, WorkClass work = WorkClass::kOnline) {
+    SlotRequest request;
     request.service = "engines";
     request.work = work;
     request.even_if_full = even_if_full;
-    return workers.take_place(request);
+    return workers.acquire_slot(request);
   }
 
   VirtualClock clock;
@@ -59,9 +59,9 @@
       view.update(record(incarnation, 8));
       view.add_peer_load(view.find(incarnation)->hash, number == 0 ? 3 : 4, 0);
     }
-    PlaceRequest request;
+    SlotRequest request;
     request.service = "engines";
-    ++chosen[view.take_place(request)->worker().record.incarnation];
+    ++chosen[view.acquire_slot(request)->worker().record.incarnation];
   }
   EXPECT_LT(chosen["i-0"], 30);
   EXPECT_GE(chosen.size(), 8U);
@@ -69,8 +69,8 @@
 
 TEST_F(WorkerSetTest, NoPlaceIsGivenBeyondTheSlots) {
   workers.update(record("i-1"));
-  const WorkerPlacePtr first = take();
-  WorkerPlacePtr second = take();
+  const WorkerSlotPtr first = take();
+  WorkerSlotPtr second = take();
   EXPECT_EQ(take(), nullptr);
   second.reset();
   EXPECT_NE(take(), nullptr);
@@ -97,7 +97,7 @@
   workers.update(record("i-1", 1));
   workers.update(record("i-2", 8));
   workers.remove("i-2");
-  const WorkerPlacePtr first = take();
+  const WorkerSlotPtr first = take();
   EXPECT_EQ(first->worker().record.incarnation, "i-1");
   EXPECT_EQ(take(), nullptr);
   EXPECT_EQ(take(true)->worker().record.incarnation, "i-1");
@@ -114,8 +114,8 @@
 
 TEST_F(WorkerSetTest, BatchLeavesMoreFreeUntilTheNodeKnowsTheBursts) {
   workers.update(record("i-1", 8));
-  std::vector<WorkerPlacePtr> places;
-  for (WorkerPlacePtr place = take(false, WorkClass::kBatch); place;
+  std::vector<WorkerSlotPtr> places;
+  for (WorkerSlotPtr place = take(false, WorkClass::kBatch); place;
        place = take(false, WorkClass::kBatch)) {
     places.push_back(std::move(place));
   }
@@ -127,8 +127,8 @@
 TEST_F(WorkerSetTest, BatchLeavesPlacesFree) {
   clock.run_for(std::chrono::seconds(13));
   workers.update(record("i-1", 4));
-  std::vector<WorkerPlacePtr> places;
-  for (WorkerPlacePtr place = take(false, WorkClass::kBatch); place;
+  std::vector<WorkerSlotPtr> places;
+  for (WorkerSlotPtr place = take(false, WorkClass::kBatch); place;
        place = take(false, WorkClass::kBatch)) {
     places.push_back(std::move(place));
   }
@@ -140,16 +140,16 @@
   clock.run_for(std::chrono::seconds(2));  // what it hears first is no burst
   workers.update(record("i-1", 8));
   constexpr int kBurst = 4;
-  std::vector<WorkerPlacePtr> burst;
+  std::vector<WorkerSlotPtr> burst;
   burst.reserve(kBurst);
   for (int count = 0; count < kBurst; ++count) {
     burst.push_back(take());
   }
   burst.clear();
   clock.run_for(std::chrono::milliseconds(400));  // it grows no more
-  std::vector<WorkerPlacePtr> batch;
+  std::vector<WorkerSlotPtr> batch;
   for (int count = 0; count < 8; ++count) {
-    if (WorkerPlacePtr place = take(false, WorkClass::kBatch)) {
+    if (WorkerSlotPtr place = take(false, WorkClass::kBatch)) {
       batch.push_back(std::move(place));
     }
   }
@@ -161,7 +161,7 @@
 TEST_F(WorkerSetTest, BatchAlwaysHasSomePlacesHoweverHighTheBurst) {
   workers.update(record("i-1", 8));
   constexpr int kBurst = 40;
-  std::vector<WorkerPlacePtr> burst;
+  std::vector<WorkerSlotPtr> burst;
   burst.reserve(kBurst);
   for (int count = 0; count < kBurst; ++count) {
     burst.push_back(take(true));
@@ -175,7 +175,7 @@
   workers.update(record("i-2", 8));
   workers.note_failure(*workers.find("i-1"), clock.monotonic_now());
   for (int count = 0; count < 4; ++count) {
-    const WorkerPlacePtr place = take();
+    const WorkerSlotPtr place = take();
     EXPECT_EQ(place->worker().record.incarnation, "i-2");
   }
   workers.note_failure(*workers.find("i-2"), clock.monotonic_now());
@@ -187,7 +187,7 @@
   workers.update(record("i-2", 8));
   workers.note_failure(*workers.find("i-2"), clock.monotonic_now());
   clock.run_for(std::chrono::seconds(1));  // its pause is over
-  WorkerPlacePtr first = take();
+  WorkerSlotPtr first = take();
   EXPECT_EQ(first->worker().record.incarnation, "i-1");
   EXPECT_EQ(take(), nullptr) << "it waits for the sound worker";
   EXPECT_EQ(take(true)->worker().record.incarnation, "i-1");
@@ -199,12 +199,12 @@
   workers.update(record("i-1", 8));
   workers.note_failure(*workers.find("i-1"), clock.monotonic_now());
   clock.run_for(std::chrono::seconds(1));
-  PlaceRequest request;
+  SlotRequest request;
   request.service = "engines";
   request.work = WorkClass::kBatch;
-  EXPECT_EQ(workers.take_place(request), nullptr);
+  EXPECT_EQ(workers.acquire_slot(request), nullptr);
   request.repeatable = true;
-  EXPECT_NE(workers.take_place(request), nullptr);
+  EXPECT_NE(workers.acquire_slot(request), nullptr);
 }
 
 TEST_F(WorkerSetTest, SuspectWorkersServeOnWhenNoneIsSound) {
@@ -226,13 +226,13 @@
     wanted.request = &request;
   }
   std::string next() {
-    places.push_back(workers.take_place(wanted));
+    places.push_back(workers.acquire_slot(wanted));
     return places.back()->worker().record.incarnation;
   }
 
   ServingRequest request;
-  PlaceRequest wanted;
-  std::vector<WorkerPlacePtr> places;
+  SlotRequest wanted;
+  std::vector<WorkerSlotPtr> places;
 };
 
 TEST_F(SharedPromptTest, ReturnsToTheWorkerThatKeepsIt) {
@@ -280,7 +280,7 @@
 TEST_F(WorkerSetTest, CountsOfAServiceStayWhatTheirSumIs) {
   constexpr int kWorkers = 6;
   constexpr int kSteps = 3000;
-  std::vector<WorkerPlacePtr> places;
+  std::vector<WorkerSlotPtr> places;
   std::map<std::string, std::shared_ptr<ServiceCounts>> counts;
   for (int step = 0; step < kSteps; ++step) {
     const std::string incarnation = "i-" + std::to_string(random.below(kWorkers));
@@ -298,7 +298,7 @@
         break;
       case 2:
       case 3:
-        if (WorkerPlacePtr place =
+        if (WorkerSlotPtr place =
                 take(true, random.below(2) == 0 ? WorkClass::kOnline : WorkClass::kBatch)) {
           places.push_back(std::move(place));
         }
@@ -322,7 +322,7 @@
       sums[known->record.service].own_batch += known->batch_in_flight;
       seen.insert(known.get());
     }
-    for (const WorkerPlacePtr& place : places) {  // at workers that are forgotten
+    for (const WorkerSlotPtr& place : places) {  // at workers that are forgotten
       const ServingWorker& forgotten = place->worker();
       if (seen.insert(&forgotten).second) {
         sums[forgotten.record.service].online += forgotten.online_in_flight;
@@ -339,32 +339,32 @@
 TEST_F(WorkerSetTest, PlacesOfAWorkerThatFailsAreNotFree) {
   workers.update(record("i-1", 4));
   workers.update(record("i-2", 4));
-  EXPECT_EQ(workers.free_places("engines"), 8U);
+  EXPECT_EQ(workers.free_slots("engines"), 8U);
   workers.note_failure(*workers.find("i-1"), clock.monotonic_now());
-  EXPECT_EQ(workers.free_places("engines"), 4U);
+  EXPECT_EQ(workers.free_slots("engines"), 4U);
   clock.run_for(std::chrono::milliseconds(10));
   workers.note_success(*workers.find("i-1"));
-  EXPECT_EQ(workers.free_places("engines"), 8U);
+  EXPECT_EQ(workers.free_slots("engines"), 8U);
 }
 
 TEST_F(WorkerSetTest, WhereAllWorkersAreSuspectTheirPlacesCount) {
   workers.update(record("i-1", 4));
   workers.note_failure(*workers.find("i-1"), clock.monotonic_now());
-  EXPECT_EQ(workers.free_places("engines"), 4U);
+  EXPECT_EQ(workers.free_slots("engines"), 4U);
 }
 
 TEST_F(WorkerSetTest, ARepeatableRequestTooWaitsForASoundWorkerRatherThanGoToOneThatFails) {
   workers.update(record("i-sound", 1));
   workers.update(record("i-failing", 4));
   workers.note_failure(*workers.find("i-failing"), clock.monotonic_now());
-  const WorkerPlacePtr taken = take();
+  const WorkerSlotPtr taken = take();
   ASSERT_EQ(taken->worker().record.incarnation, "i-sound");
-  PlaceRequest repeatable;
+  SlotRequest repeatable;
   repeatable.service = "engines";
   repeatable.repeatable = true;
-  EXPECT_EQ(workers.take_place(repeatable), nullptr);
+  EXPECT_EQ(workers.acquire_slot(repeatable), nullptr);
   repeatable.even_if_full = true;
-  EXPECT_EQ(workers.take_place(repeatable)->worker().record.incarnation, "i-sound");
+  EXPECT_EQ(workers.acquire_slot(repeatable)->worker().record.incarnation, "i-sound");
 }
 
 TEST_F(WorkerSetTest, OnlyWorkersInUseOrWithNewsAreActive) {
@@ -373,7 +373,7 @@
     workers.update(record("i-" + std::to_string(number)));
   }
   EXPECT_TRUE(workers.active_workers().empty());
-  WorkerPlacePtr place = take();
+  WorkerSlotPtr place = take();
   ServingWorker& used = place->worker();
   ASSERT_EQ(workers.active_workers().size(), 1U);
   EXPECT_EQ(workers.active_workers().begin()->second.get(), &used);
@@ -389,7 +389,7 @@
   workers.update(record("i-1"));
   const MonotonicTime failed = clock.monotonic_now();
   clock.run_for(std::chrono::milliseconds(10));
-  WorkerPlacePtr place = take();
+  WorkerSlotPtr place = take();
   workers.note_success(place->worker());
   const uint64_t hash = place->worker().hash;
   place.reset();
--- a/tests/serving/worker_watch_test.cc
+++ b/tests/serving/worker_watch_test.cc
@@ -44,8 +44,8 @@
   EXPECT_FALSE(after->report);
   EXPECT_FALSE(after->replaced);
   EXPECT_EQ(workers.load_of(*after), 0U);
-  EXPECT_EQ(workers.reading_time(*after), Duration(0));
-  EXPECT_EQ(workers.free_places("engines"), 4U);
+  EXPECT_EQ(workers.prefill_backlog(*after), Duration(0));
+  EXPECT_EQ(workers.free_slots("engines"), 4U);
   // What peers tell of the start before is not counted for this one.
   EXPECT_FALSE(workers.add_peer_load(before->hash, 1, 0));
 }
@@ -60,7 +60,7 @@
   cluster.clock.run_for(milliseconds(100));
   EXPECT_TRUE(answer->aborted || answer->finished);
   EXPECT_EQ(worker("i-0")->online_in_flight, 0U);
-  EXPECT_EQ(cluster.node().workers().free_places("engines"), 4U);
+  EXPECT_EQ(cluster.node().workers().free_slots("engines"), 4U);
 }
 
 TEST_F(WorkerWatchTest, AnUnreadableEntryNamesNoWorkerToUseAndTheOthersHold) {
