--- a/sim/answer_reader.cc
+++ b/sim/answer_reader.cc
@@ -68,7 +68,8 @@
   } else if (kind_ == CallKind::kService) {
     ended.text = body_;
   }
-  // A stream that ends regularly without the mark counts as complete: clients would take it so.
+  // A stream that ends without an error counts as complete even if the [DONE] event is missing,
+  // because client libraries accept it.
   return ended;
 }
 
--- a/sim/answer_reader.h
+++ b/sim/answer_reader.h
@@ -1,4 +1,4 @@
-// Reads answers of the callers' API as a client library would.
+// Parses responses of the inference API as a client library would.
 #pragma once
 
 #include <string>
@@ -8,17 +8,17 @@
 
 namespace chalkshed {
 
-// Reads the bytes of one answer as they come.
+// Parses one response incrementally.
 class AnswerReader {
  public:
   explicit AnswerReader(CallKind kind) : kind_(kind) {}
   void on_headers(int status) { status_ = status; }
   void on_body(std::string_view data);
-  // @return how the call ended, given that the answer ended regularly.
+  // @return the outcome of a call whose response ended without a connection error.
   CallEnded on_end();
   int status() const { return status_; }
   const std::string& body() const { return body_; }
-  // @return the text received so far, for answers that broke off.
+  // @return the text received so far, for truncated responses.
   std::string partial_text() const { return kind_ == CallKind::kStream ? text_ : ""; }
 
  private:
@@ -28,7 +28,7 @@
   const CallKind kind_;
   int status_ = 0;
   std::string body_;
-  size_t read_ = 0;  // bytes of the stream's body that were read as lines
+  size_t read_ = 0;  // bytes of the stream's body that were parsed as lines
   std::string text_;
   std::string failure_;  // error event of a stream
 };
--- a/sim/batch_workload.cc
+++ b/sim/batch_workload.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration kResendDelay = std::chrono::milliseconds(700);
-constexpr Duration kPatience = std::chrono::seconds(10);
+constexpr Duration kCallTimeout = std::chrono::seconds(10);
 constexpr int kOk = 200;
 
 std::string expected_text(const BatchItemRequest& item) {
@@ -27,8 +27,8 @@
       random_(seed),
       knobs_(knobs),
       timer_(cluster.caller().dispatcher().create_timer([this] {
-        const uint64_t range = knobs_.most_items - knobs_.fewest_items + 1;
-        submit_new(knobs_.fewest_items + static_cast<uint32_t>(random_.below(range)));
+        const uint64_t range = knobs_.max_items - knobs_.min_items + 1;
+        submit_new(knobs_.min_items + static_cast<uint32_t>(random_.below(range)));
         arm();
       })) {}
 
@@ -60,7 +60,7 @@
   call.began.request = job->key;
   call.began.node = cluster_.nodes()[random_.below(cluster_.nodes().size())];
   call.http = std::move(http);
-  call.patience = kPatience;
+  call.timeout = kCallTimeout;
   cluster_.caller().send(std::move(call), std::move(done));
 }
 
@@ -74,7 +74,7 @@
     BatchItemRequest item;
     item.custom_id = "item-" + std::to_string(index);
     item.prompt = std::string(kBatchPromptPrefix) + job->key + " " + item.custom_id;
-    item.max_tokens = static_cast<uint32_t>(1 + random_.below(knobs_.longest_answer_tokens));
+    item.max_tokens = static_cast<uint32_t>(1 + random_.below(knobs_.max_answer_tokens));
     offered.items.push_back({item.custom_id, item.prompt, expected_text(item)});
     items.push_back(std::move(item));
   }
@@ -100,11 +100,11 @@
     after(kResendDelay, [this, job] { submit(job); });
   }
   if (!job->id.empty()) {
-    return;  // a resend; the first acceptance is followed up already
+    return;  // response to a resend; the job is already polled since the first acceptance
   }
   job->id = id;
   if (job->cancels) {
-    const auto bound = static_cast<uint64_t>(knobs_.longest_wait_before_cancel.count());
+    const auto bound = static_cast<uint64_t>(knobs_.max_delay_before_cancel.count());
     after(Duration(static_cast<int64_t>(random_.below(bound))), [this, job] { cancel(job); });
   }
   after(knobs_.poll_interval, [this, job] { poll(job); });
@@ -141,8 +141,8 @@
   cluster_.recorder().record(JobCancelRequested{job->id});
   send(CallKind::kCancelJob, job, post_request("/v1/batches/" + job->id + "/cancel", "", ""),
        [this, job](const CallerAnswer& answer) {
-         const bool whole = answer.ended.outcome == CallOutcome::kComplete;
-         if (whole && answer.status == kOk) {
+         const bool complete = answer.ended.outcome == CallOutcome::kComplete;
+         if (complete && answer.status == kOk) {
            record_status(job, answer.body);
          } else if (!job->ended) {
            after(kResendDelay, [this, job] { cancel(job); });
@@ -161,13 +161,13 @@
 void BatchWorkload::read_output(const JobPtr& job, bool final) {
   send(CallKind::kQuery, job, get_request("/v1/batches/" + job->id + "/output"),
        [this, job, final](const CallerAnswer& answer) {
-         const bool whole = answer.ended.outcome == CallOutcome::kComplete;
-         if (whole && answer.status == kOk) {
+         const bool complete = answer.ended.outcome == CallOutcome::kComplete;
+         if (complete && answer.status == kOk) {
            cluster_.recorder().record(
                JobOutput{job->id, read_output_lines(answer.body), answer.ended.call});
          }
-         if (final && whole && answer.status == kOk) {
-           --final_reads_;
+         if (final && complete && answer.status == kOk) {
+           --pending_final_reads_;
          } else if (final) {
            after(kResendDelay, [this, job] { read_output(job, true); });
          }
@@ -177,7 +177,7 @@
 void BatchWorkload::read_all_outputs() {
   for (const JobPtr& job : jobs_) {
     if (!job->id.empty()) {
-      ++final_reads_;
+      ++pending_final_reads_;
       read_output(job, true);
     }
   }
--- a/sim/batch_workload.h
+++ b/sim/batch_workload.h
@@ -1,4 +1,4 @@
-// Callers of batch work: jobs with resends, polling, cancels and reading of outputs.
+// Batch clients: submit jobs, resend submissions, poll, cancel and read outputs.
 #pragma once
 
 #include <memory>
@@ -12,11 +12,11 @@
 
 struct BatchWorkloadKnobs {
   Duration mean_interval = std::chrono::seconds(5);  // between new jobs
-  uint32_t fewest_items = 5;
-  uint32_t most_items = 40;
-  uint32_t longest_answer_tokens = 60;
+  uint32_t min_items = 5;
+  uint32_t max_items = 40;
+  uint32_t max_answer_tokens = 60;
   double cancel_share = 0.35;
-  Duration longest_wait_before_cancel = std::chrono::seconds(8);
+  Duration max_delay_before_cancel = std::chrono::seconds(8);
   double resend_after_acceptance_share = 0.4;
   Duration poll_interval = std::chrono::milliseconds(1500);
 };
@@ -26,12 +26,12 @@
   BatchWorkload(SimulatedCluster& cluster, uint64_t seed, const BatchWorkloadKnobs& knobs = {});
   void start();
   void stop() { timer_->disable(); }
-  // All submissions are resolved and all accepted jobs have ended.
+  // @return whether every submission was accepted and every accepted job has ended.
   bool settled() const;
   bool all_accepted() const;
-  // Reads the outputs of all accepted jobs once more.
+  // Reads the outputs of all accepted jobs, for the final check.
   void read_all_outputs();
-  bool all_outputs_read() const { return final_reads_ == 0; }
+  bool all_outputs_read() const { return pending_final_reads_ == 0; }
   uint64_t operations() const { return operations_; }
   void submit_new(uint32_t item_count);
   void cancel_all();
@@ -43,7 +43,7 @@
     std::string id;  // once accepted
     bool cancels = false;
     bool ended = false;
-    bool read = false;  // its whole output, at the end
+    bool read = false;  // its complete output, at the end
   };
   using JobPtr = std::shared_ptr<Job>;
 
@@ -63,7 +63,7 @@
   const BatchWorkloadKnobs knobs_;
   TimerPtr timer_;
   std::vector<JobPtr> jobs_;
-  uint64_t final_reads_ = 0;
+  uint64_t pending_final_reads_ = 0;
   uint64_t operations_ = 0;
 };
 
--- a/sim/campaign.cc
+++ b/sim/campaign.cc
@@ -7,10 +7,11 @@
 
 namespace {
 
-constexpr uint64_t kSeedsOfProof = 60;
+constexpr uint64_t kMaxSeedsPerProof = 60;
 
-// Calls `work` for each index below `count`, on several threads. The work shares nothing.
-void in_parallel(uint32_t threads, size_t count, const std::function<void(size_t)>& work) {
+// Calls `work` for each index below `count`, on several threads. The calls must not share mutable
+// state.
+void parallel_for(uint32_t threads, size_t count, const std::function<void(size_t)>& work) {
   std::atomic<size_t> next{0};
   std::vector<std::thread> workers;
   const uint32_t used = threads != 0 ? threads : std::max(1U, std::thread::hardware_concurrency());
@@ -35,7 +36,7 @@
   result.proof = &proof;
   RunKnobs disabled;
   proof.disable(disabled);
-  for (uint64_t seed = 1; seed <= kSeedsOfProof && !result.fails_when_disabled; ++seed) {
+  for (uint64_t seed = 1; seed <= kMaxSeedsPerProof && !result.fails_when_disabled; ++seed) {
     result.fails_when_disabled = violates(proof, proof.scenario(seed, disabled));
     result.failing_seed = seed;
   }
@@ -49,7 +50,7 @@
 
 std::vector<SeedSummary> run_seeds(const CampaignOptions& options) {
   std::vector<SeedSummary> summaries(options.seeds);
-  in_parallel(options.threads, options.seeds, [&](size_t index) {
+  parallel_for(options.threads, options.seeds, [&](size_t index) {
     RunKnobs knobs;
     if (options.disabled != nullptr) {
       options.disabled->disable(knobs);
@@ -65,7 +66,8 @@
 std::vector<ProofResult> run_proofs(uint32_t threads) {
   const std::vector<SafeguardProof>& proofs = safeguard_proofs();
   std::vector<ProofResult> results(proofs.size());
-  in_parallel(threads, proofs.size(), [&](size_t index) { results[index] = prove(proofs[index]); });
+  parallel_for(threads, proofs.size(),
+               [&](size_t index) { results[index] = prove(proofs[index]); });
   return results;
 }
 
--- a/sim/campaign.h
+++ b/sim/campaign.h
@@ -1,4 +1,5 @@
-// Many seeds in parallel, and the proofs that each guarantee fails without its mechanism.
+// Runs many seeds in parallel, and checks that each guarantee is violated when its safeguard is
+// disabled.
 #pragma once
 
 #include <array>
@@ -10,7 +11,7 @@
 
 namespace chalkshed {
 
-// What remains of one run; histories are too large to keep.
+// Result of one run without its history, which is too large to keep for every seed.
 struct SeedSummary {
   uint64_t seed = 0;
   uint64_t faults = 0;
@@ -25,21 +26,21 @@
   const SafeguardProof* disabled = nullptr;
 };
 
-// Runs each seed once; results are in the order of the seeds.
+// Runs each seed once; results are ordered by seed.
 std::vector<SeedSummary> run_seeds(const CampaignOptions& options);
 
 struct ProofResult {
   const SafeguardProof* proof = nullptr;
-  bool clean_when_enabled = false;   // the very same runs violate nothing with the mechanism on
-  bool fails_when_disabled = false;  // some run violates the guarantee with it off
+  bool clean_when_enabled = false;   // the same seed violates nothing with the safeguard enabled
+  bool fails_when_disabled = false;  // some seed violates the guarantee with it disabled
   uint64_t failing_seed = 0;
 };
 
-// Runs the scenario of each mechanism with it off, over a few seeds until the guarantee is seen to
-// fail, and then the same seed with it on.
+// Runs the scenario of each safeguard with the safeguard disabled, seed after seed until the
+// guarantee is violated, and then the violating seed with the safeguard enabled.
 std::vector<ProofResult> run_proofs(uint32_t threads);
 
-// @return whether a seed gave the same history in two runs.
+// @return whether two runs of a seed give the same history.
 bool replays(uint64_t seed);
 
 }  // namespace chalkshed
--- a/sim/configuration_cluster.cc
+++ b/sim/configuration_cluster.cc
@@ -62,11 +62,11 @@
   const Duration latency = std::chrono::milliseconds(1);
   if (target == nullptr || !target->handlers_.contains(method)) {
     dispatcher.schedule(latency, [callback] {
-      callback(tl::unexpected(not_run(ErrorKind::kUnavailable, "cut off", "wait")));
+      callback(tl::unexpected(not_run(ErrorKind::kUnavailable, "the peer is unreachable", "wait")));
     });
     return;
   }
-  // Either end may be restarted while the call is under way; then there is no answer.
+  // Either node may be restarted while the call is in flight; then no response is delivered.
   target->dispatcher.schedule(
       latency, lifetime.guard([this, target, method, body, callback, latency] {
         const auto reply =
--- a/sim/configuration_cluster.h
+++ b/sim/configuration_cluster.h
@@ -1,5 +1,5 @@
-// A small cluster of configuration managers in virtual time, with the emulated platform, peers
-// that can be cut off from one another, and a gossip that reaches whoever can be reached.
+// A small cluster of configuration managers in virtual time, with the emulated platform, network
+// partitions between peers, and gossip that reaches every node of the same partition.
 #pragma once
 
 #include <map>
@@ -32,9 +32,9 @@
 
 enum class CommitFault { kNone, kAnswerLost, kArrivesLate };
 
-// The emulated table, with read answers that can be held back and commits whose outcome the caller
-// does not learn.
-class HoldingTableStore : public EmulatedTableStore {
+// The emulated table with fault injection: read responses can be delayed, and commits can report an
+// unknown outcome.
+class FaultyTableStore : public EmulatedTableStore {
  public:
   using EmulatedTableStore::EmulatedTableStore;
 
@@ -59,7 +59,8 @@
       EmulatedTableStore::commit(std::move(transaction), [](const Expected<CommitResult>&) {});
     }
     EmulatedTableStore::read({"none", "none"}, [callback](const Expected<std::optional<Row>>&) {
-      callback(tl::unexpected(maybe_run(ErrorKind::kOutcomeUnknown, "answer lost", "read back")));
+      callback(tl::unexpected(
+          maybe_run(ErrorKind::kOutcomeUnknown, "the response was lost", "read the row back")));
     });
   }
   void deliver_late_commits() {
@@ -82,7 +83,7 @@
 
 class ConfigurationCluster;
 
-// One node; also its view of the others, its gossip and its peer transport.
+// One node; also implements its membership view, gossip and peer transport.
 class ConfigurationNode : public MembershipView,
                           public Gossip,
                           public PeerClient,
@@ -110,7 +111,7 @@
     handlers_[std::move(method)] = std::move(handler);
   }
 
-  // Bodies of the calls that fetched content.
+  // @return the bytes of all calls that fetched configuration content.
   uint64_t content_call_bytes() {
     return bytes[kConfigurationManifestMethod] + bytes[kConfigurationBlockMethod];
   }
@@ -123,20 +124,20 @@
   Member self_;
   std::map<std::string, Handler> handlers_;
   std::function<void(const GossipEntry&)> on_gossip_;
-  uint64_t gossip_version_ = 0;  // highest that this node published or received
+  uint64_t gossip_version_ = 0;  // highest version that this node published or received
 
  public:
   VirtualDispatcher dispatcher;
   SeededRandomGenerator random;
-  HoldingTableStore table;
+  FaultyTableStore table;
   EmulatedObjectStore objects;
   EmulatedMachineList machines;
   NodeDependencies dependencies;
-  int side = 0;  // only nodes of one side reach one another
+  int side = 0;  // partition: only nodes with the same value can reach one another
   bool hears_gossip = true;
-  std::map<std::string, int> calls;            // made, by method
-  std::map<std::string, uint64_t> bytes;       // of bodies of calls made and their answers
-  std::vector<ConfigurationVersion> versions;  // in the order in which they came into force
+  std::map<std::string, int> calls;            // calls made, by method
+  std::map<std::string, uint64_t> bytes;       // of the request and response bodies of these calls
+  std::vector<ConfigurationVersion> versions;  // in the order in which they took effect
   ConfigurationManager manager;
   Lifetime lifetime;
 };
@@ -150,7 +151,7 @@
     nodes.back()->manager.start();
     return *nodes.back();
   }
-  // Replaces a node by a fresh process of the same name, which knows nothing.
+  // Replaces a node by a new process with the same name and no state.
   ConfigurationNode& restart(size_t index, ConfigurationKnobs knobs = {}) {
     const Member& old = nodes[index]->self();
     nodes[index] = std::make_unique<ConfigurationNode>(*this, old.id, old.http_address.port, knobs);
@@ -159,13 +160,13 @@
   }
   ConfigurationNode& operator[](size_t index) { return *nodes[index]; }
 
-  // Applies and runs until the answer is there.
+  // Applies a configuration and runs the cluster until the result arrives.
   Expected<ApplyOutcome> apply(ConfigurationNode& node, std::string text,
                                ConfigurationVersion base) {
     std::optional<Expected<ApplyOutcome>> result;
     node.manager.apply(apply_request(std::move(text), base),
                        [&](Expected<ApplyOutcome> outcome) { result = std::move(outcome); });
-    for (int turn = 0; turn < 1000 && !result; ++turn) {
+    for (int step = 0; step < 1000 && !result; ++step) {
       run(20);
     }
     return result.value();
--- a/sim/fault_injector.cc
+++ b/sim/fault_injector.cc
@@ -6,15 +6,15 @@
 
 namespace {
 
-constexpr Duration kShortest = std::chrono::seconds(2);
+constexpr Duration kMinFaultDuration = std::chrono::seconds(2);
 constexpr Duration kWorkerRestart = std::chrono::seconds(3);
-// A frozen node sleeps past its leases at least by this factor of the shortest fault.
-constexpr int kFreezeFactor = 4;
+// A node stays frozen for at least this multiple of the shortest fault, so that its leases expire.
+constexpr int kMinFreezeFactor = 4;
 constexpr double kSlowFactor = 8.0;
-constexpr double kTruncation = 0.3;
-constexpr double kGarbling = 0.02;
-constexpr double kStoreSlowness = 100.0;  // a round trip of 2 ms takes 200 ms
-constexpr double kLostAnswers = 0.3;
+constexpr double kTruncationProbability = 0.3;
+constexpr double kChunkFaultProbability = 0.02;
+constexpr double kStoreLatencyFactor = 100.0;  // a round trip of 2 ms takes 200 ms
+constexpr double kLostAnswerProbability = 0.3;
 
 }  // namespace
 
@@ -44,12 +44,13 @@
   return kNames[static_cast<size_t>(kind)];
 }
 
-Duration FaultInjector::between(Duration shortest, Duration longest) {
-  const auto range = static_cast<uint64_t>(std::max<int64_t>(1, (longest - shortest).count()));
-  return shortest + Duration(static_cast<int64_t>(random_.below(range)));
+Duration FaultInjector::random_duration(Duration min_duration, Duration max_duration) {
+  const auto range =
+      static_cast<uint64_t>(std::max<int64_t>(1, (max_duration - min_duration).count()));
+  return min_duration + Duration(static_cast<int64_t>(random_.below(range)));
 }
 
-std::string FaultInjector::pick(const std::vector<std::string>& names) {
+std::string FaultInjector::pick_running(const std::vector<std::string>& names) {
   std::vector<std::string> running;
   for (const std::string& name : names) {
     if (cluster_.running(name) && !cluster_.stopping(name)) {
@@ -65,30 +66,30 @@
                     [this](const std::string& name) { return cluster_.running(name); }));
 }
 
-void FaultInjector::open(FaultKind kind, std::vector<std::string> processes, Duration duration,
-                         std::function<void()> heal) {
+void FaultInjector::begin_fault(FaultKind kind, std::vector<std::string> processes,
+                                Duration duration, std::function<void()> heal) {
   const uint64_t fault = next_fault_++;
-  ++open_;
+  ++active_faults_;
   cluster_.recorder().record(
       FaultBegan{fault, std::string(fault_name(kind)), std::move(processes)});
   cluster_.clock().schedule(duration, [this, fault, heal = std::move(heal)] {
     heal();
-    --open_;
+    --active_faults_;
     cluster_.recorder().record(FaultEnded{fault});
   });
 }
 
-void FaultInjector::inject_random(Duration longest) {
-  inject(static_cast<FaultKind>(random_.below(kFaultKindCount)), longest);
+void FaultInjector::inject_random(Duration max_duration) {
+  inject(static_cast<FaultKind>(random_.below(kFaultKindCount)), max_duration);
 }
 
-void FaultInjector::inject(FaultKind kind, Duration longest) {
-  const Duration duration = between(kShortest, longest);
-  const size_t most_down = cluster_.nodes().size() / 2;
-  const bool enough_nodes = running_nodes() > most_down;
-  const std::string node = pick(cluster_.nodes());
-  const std::string worker = pick(cluster_.workers());
-  const std::string backend = pick(cluster_.backends());
+void FaultInjector::inject(FaultKind kind, Duration max_duration) {
+  const Duration duration = random_duration(kMinFaultDuration, max_duration);
+  const size_t max_down = cluster_.nodes().size() / 2;
+  const bool enough_nodes = running_nodes() > max_down;
+  const std::string node = pick_running(cluster_.nodes());
+  const std::string worker = pick_running(cluster_.workers());
+  const std::string backend = pick_running(cluster_.backends());
   if (node.empty() || worker.empty() || backend.empty() || !enough_nodes) {
     return;
   }
@@ -100,7 +101,7 @@
       kill_after_acknowledgement(duration);
       break;
     case FaultKind::kFreezeNode:
-      freeze(kind, node, std::max(duration, kFreezeFactor * kShortest));
+      freeze(kind, node, std::max(duration, kMinFreezeFactor * kMinFaultDuration));
       break;
     case FaultKind::kFreezeWorker:
       freeze(kind, worker, duration);
@@ -125,12 +126,12 @@
       cut_from_platform(duration);
       break;
     case FaultKind::kDatagramFaults:
-      disturb_datagrams(duration);
+      inject_datagram_faults(duration);
       break;
     case FaultKind::kStoreDown:
     case FaultKind::kStoreSlow:
     case FaultKind::kStoreLosesAnswers:
-      disturb_store(kind, duration);
+      inject_store_fault(kind, duration);
       break;
     case FaultKind::kZoneLoss: {
       const std::vector<std::string> zones = cluster_.zone_names();
@@ -147,7 +148,7 @@
     case FaultKind::kSlowWorker:
     case FaultKind::kTruncatedStreams:
     case FaultKind::kGarbledStreams:
-      disturb_engine(kind, duration);
+      inject_engine_fault(kind, duration);
       break;
     case FaultKind::kStopNode:
       stop(node, duration);
@@ -173,7 +174,7 @@
       killed.push_back(name);
     }
   }
-  open(kind, killed, duration, [this, killed] {
+  begin_fault(kind, killed, duration, [this, killed] {
     for (const std::string& name : killed) {
       cluster_.start(name);
     }
@@ -182,9 +183,9 @@
 
 void FaultInjector::kill_after_acknowledgement(Duration duration) {
   cluster_.kill_after_next_acknowledgement();
-  // Which node dies is recorded when it does.
-  open(FaultKind::kKillAfterAcknowledgement, {"acknowledging-node"}, duration, [this] {
-    cluster_.keep_after_acknowledgements();
+  // The cluster records which node it kills when that happens.
+  begin_fault(FaultKind::kKillAfterAcknowledgement, {"acknowledging-node"}, duration, [this] {
+    cluster_.cancel_kill_after_acknowledgement();
     for (const std::string& name : cluster_.nodes()) {
       cluster_.start(name);
     }
@@ -193,7 +194,7 @@
 
 void FaultInjector::freeze(FaultKind kind, const std::string& name, Duration duration) {
   cluster_.freeze(name);
-  open(kind, {name}, duration, [this, name] { cluster_.thaw(name); });
+  begin_fault(kind, {name}, duration, [this, name] { cluster_.thaw(name); });
 }
 
 void FaultInjector::cut_between(FaultKind kind, const std::vector<std::string>& group,
@@ -215,11 +216,11 @@
   for (const auto& [from, to] : pairs) {
     network.cut_one_way(from, to);
   }
-  std::vector<std::string> touched = group;
+  std::vector<std::string> affected = group;
   if (kind == FaultKind::kSplitNodes) {
-    touched.insert(touched.end(), others.begin(), others.end());
+    affected.insert(affected.end(), others.begin(), others.end());
   }
-  open(kind, touched, duration, [&network, pairs] {
+  begin_fault(kind, affected, duration, [&network, pairs] {
     for (const auto& [from, to] : pairs) {
       network.heal_one_way(from, to);
     }
@@ -227,31 +228,31 @@
 }
 
 void FaultInjector::cut_from_platform(Duration duration) {
-  const std::string node = pick(cluster_.nodes());
+  const std::string node = pick_running(cluster_.nodes());
   cluster_.set_platform_reachable(node, false);
-  open(FaultKind::kCutNodeFromPlatform, {node}, duration,
-       [this, node] { cluster_.set_platform_reachable(node, true); });
+  begin_fault(FaultKind::kCutNodeFromPlatform, {node}, duration,
+              [this, node] { cluster_.set_platform_reachable(node, true); });
 }
 
-void FaultInjector::disturb_datagrams(Duration duration) {
+void FaultInjector::inject_datagram_faults(Duration duration) {
   DatagramFaults& faults = cluster_.network().datagram_faults();
   faults = {0.2, 0.2, 0.3, std::chrono::milliseconds(500)};
-  open(FaultKind::kDatagramFaults, cluster_.nodes(), duration,
-       [&faults] { faults = DatagramFaults(); });
+  begin_fault(FaultKind::kDatagramFaults, cluster_.nodes(), duration,
+              [&faults] { faults = DatagramFaults(); });
 }
 
-void FaultInjector::disturb_store(FaultKind kind, Duration duration) {
+void FaultInjector::inject_store_fault(FaultKind kind, Duration duration) {
   EmulatedPlatform& platform = cluster_.platform();
   for (EmulatedService* service : {&platform.table_service(), &platform.object_service()}) {
     service->faults.outage = service->faults.outage || kind == FaultKind::kStoreDown;
     if (kind == FaultKind::kStoreSlow) {
-      service->faults.slowness = kStoreSlowness;
+      service->faults.slowness = kStoreLatencyFactor;
     }
     if (kind == FaultKind::kStoreLosesAnswers) {
-      service->faults.lost_answer_probability = kLostAnswers;
+      service->faults.lost_answer_probability = kLostAnswerProbability;
     }
   }
-  open(kind, {}, duration, [&platform, kind] {
+  begin_fault(kind, {}, duration, [&platform, kind] {
     for (EmulatedService* service : {&platform.table_service(), &platform.object_service()}) {
       if (kind == FaultKind::kStoreDown) {
         service->faults.outage = false;
@@ -264,20 +265,20 @@
   });
 }
 
-void FaultInjector::disturb_engine(FaultKind kind, Duration duration) {
-  const std::string worker = pick(cluster_.workers());
+void FaultInjector::inject_engine_fault(FaultKind kind, Duration duration) {
+  const std::string worker = pick_running(cluster_.workers());
   EngineFaults& faults = cluster_.engine(worker)->model().faults();
   if (kind == FaultKind::kGarbledStreams) {
-    cluster_.engine(worker)->set_garbling(kGarbling);
+    cluster_.engine(worker)->set_chunk_fault_probability(kChunkFaultProbability);
   } else if (kind == FaultKind::kSlowWorker) {
     faults.slow_factor = kSlowFactor;
   } else {
-    faults.truncate_probability = kTruncation;
+    faults.truncate_probability = kTruncationProbability;
   }
-  open(kind, {worker}, duration, [this, worker] {
+  begin_fault(kind, {worker}, duration, [this, worker] {
     if (SimulatedEngine* engine = cluster_.engine(worker)) {
       engine->model().faults() = EngineFaults();
-      engine->set_garbling(0);
+      engine->set_chunk_fault_probability(0);
     }
   });
 }
@@ -288,26 +289,26 @@
       restart_later(name, delay);
     } else {
       cluster_.start(name);
-      --open_;
+      --active_faults_;
     }
   });
 }
 
 void FaultInjector::stop(const std::string& name, Duration duration) {
-  // Not recorded as a fault: a planned stop excuses nothing.
+  // Not recorded as a fault: the checker allows no failures because of a planned stop.
   ++next_fault_;
-  ++open_;
+  ++active_faults_;
   cluster_.stop(name);
   restart_later(name, std::max(duration, kWorkerRestart));
 }
 
 void FaultInjector::drain(const std::string& name, Duration duration) {
   ++next_fault_;
-  ++open_;
-  operators_.drain(pick(cluster_.nodes()), name);
+  ++active_faults_;
+  operators_.drain(pick_running(cluster_.nodes()), name);
   cluster_.clock().schedule(duration + kWorkerRestart, [this, name] {
-    --open_;
-    const std::string node = pick(cluster_.nodes());
+    --active_faults_;
+    const std::string node = pick_running(cluster_.nodes());
     if (!node.empty()) {
       operators_.restore(node, name);
     }
--- a/sim/history_recorder.h
+++ b/sim/history_recorder.h
@@ -1,4 +1,4 @@
-// Collects the history of one simulated run.
+// Collects the event history of one simulated run.
 #pragma once
 
 #include "sim/virtual_time.h"
--- a/sim/online_workload.cc
+++ b/sim/online_workload.cc
@@ -12,7 +12,7 @@
 
 constexpr uint32_t kSharedPrefixes = 4;
 constexpr Duration kResendDelay = std::chrono::milliseconds(300);
-constexpr Duration kPatience = std::chrono::seconds(25);
+constexpr Duration kCallTimeout = std::chrono::seconds(25);
 constexpr const char* kShortDeadline = "40";  // milliseconds
 
 std::string joined(const std::vector<std::string>& tokens) {
@@ -50,10 +50,10 @@
   return cluster_.nodes()[random_.below(cluster_.nodes().size())];
 }
 
-// Several prompts share their beginning, so that prefix affinity has something to do.
+// Prompts share a few prefixes, so that the router's prefix affinity is exercised.
 std::string OnlineWorkload::make_prompt() {
   std::string prompt = "prefix " + std::to_string(random_.below(kSharedPrefixes));
-  const uint64_t words = random_.below(knobs_.longest_prompt_words);
+  const uint64_t words = random_.below(knobs_.max_prompt_words);
   for (uint64_t word = 0; word < words; ++word) {
     prompt += " word" + std::to_string(word);
   }
@@ -74,7 +74,7 @@
     request->http = service_request(began.request);
     began.expected_text = expected_backend_answer(began.request);
   } else {
-    const auto tokens = static_cast<uint32_t>(1 + random_.below(knobs_.longest_answer_tokens));
+    const auto tokens = static_cast<uint32_t>(1 + random_.below(knobs_.max_answer_tokens));
     const bool known = random_.unit() >= knobs_.unknown_model_share;
     request->http = completion_request(known ? kModelName : "unknown-model", began.request, tokens,
                                        began.kind == CallKind::kStream);
@@ -93,7 +93,7 @@
 void OnlineWorkload::send_new() {
   const RequestPtr request = make_request();
   send(request, random_node());
-  if (request->began.not_repeatable && random_.unit() < knobs_.impatient_share) {
+  if (request->began.not_repeatable && random_.unit() < knobs_.duplicate_send_share) {
     send(request, random_node());
   }
   arm();
@@ -111,7 +111,7 @@
   ++operations_;
   ++in_progress_;
   ++request->sends;
-  CallerRequest call{request->began, request->http, kPatience};
+  CallerRequest call{request->began, request->http, kCallTimeout};
   call.began.node = node;
   cluster_.caller().send(std::move(call), [this, request](const CallerAnswer& answer) {
     --in_progress_;
@@ -121,7 +121,7 @@
 
 void OnlineWorkload::on_answer(const RequestPtr& request, const CallerAnswer& answer) {
   const bool done = answer.ended.outcome == CallOutcome::kComplete;
-  if (done || !request->resends || request->sends > knobs_.most_resends) {
+  if (done || !request->resends || request->sends > knobs_.max_resends) {
     return;
   }
   ++in_progress_;
--- a/sim/online_workload.h
+++ b/sim/online_workload.h
@@ -1,5 +1,5 @@
-// Callers of online work: streamed and plain completions, requests not to be repeated, and plain
-// services; with resends through other nodes.
+// Online clients: streamed and non-streamed completions, non-idempotent requests and requests to
+// plain services. Failed requests are resent through other nodes.
 #pragma once
 
 #include <memory>
@@ -11,18 +11,18 @@
 
 struct OnlineWorkloadKnobs {
   Duration mean_interval = std::chrono::milliseconds(120);  // between new requests
-  uint32_t longest_prompt_words = 120;
-  uint32_t longest_answer_tokens = 60;
-  // Shares of the kinds; the rest are streamed completions.
+  uint32_t max_prompt_words = 120;
+  uint32_t max_answer_tokens = 60;
+  // Shares of the request kinds; the rest are streamed completions.
   double plain_share = 0.2;
   double not_repeatable_share = 0.2;
   double service_share = 0.25;
   double unknown_model_share = 0.02;
   double short_deadline_share = 0.03;
-  double resend_share = 0.8;  // of the failed ones that the caller sends again
-  uint32_t most_resends = 4;
-  // Sends the same request a second time at once, through another node.
-  double impatient_share = 0.3;  // of those not to be repeated
+  double resend_share = 0.8;  // of the requests, those that are resent after a failure
+  uint32_t max_resends = 4;
+  // Sends the same request a second time immediately, through a random node.
+  double duplicate_send_share = 0.3;  // of the non-idempotent requests
 };
 
 class OnlineWorkload {
@@ -32,7 +32,7 @@
   void stop() { timer_->disable(); }
   bool settled() const { return in_progress_ == 0; }
   uint64_t operations() const { return operations_; }
-  // Sends one streamed completion to a given node, as an extra.
+  // Sends one additional streamed completion to a given node.
   void send_stream(const std::string& node);
 
  private:
--- a/sim/operator_workload.cc
+++ b/sim/operator_workload.cc
@@ -8,16 +8,16 @@
 
 constexpr int kOk = 200;
 constexpr Duration kRetryDelay = std::chrono::milliseconds(500);
-constexpr Duration kPatience = std::chrono::seconds(8);
+constexpr Duration kCallTimeout = std::chrono::seconds(8);
 
-// Built by a stream: GCC 12 sees false overruns in chains of operator+.
+// Uses a stream because GCC 12 reports false buffer overruns for chains of operator+.
 std::string tenant_section(const std::string& name, const std::string& key) {
   std::ostringstream text;
   text << "[tenants." << name << "]\napi_key = \"" << key << "\"\n";
   return text.str();
 }
 
-std::string first_configuration() {
+std::string initial_configuration() {
   std::ostringstream text;
   text << "version = 0\n[services." << kModelService << "]\nkind = \"model\"\nmodels = [\""
        << kModelName << "\"]\nmax_sequences_per_worker = 8\n[services." << kPlainService
@@ -34,7 +34,7 @@
       random_(seed),
       knobs_(knobs),
       timer_(cluster.caller().dispatcher().create_timer([this] {
-        race();
+        apply_concurrent_changes();
         arm();
       })) {}
 
@@ -56,7 +56,7 @@
   call.began.request = "operator-" + std::to_string(next_request_++);
   call.began.node = node;
   call.http = as_operator(std::move(http));
-  call.patience = kPatience;
+  call.timeout = kCallTimeout;
   cluster_.caller().send(std::move(call), std::move(done));
 }
 
@@ -65,8 +65,8 @@
                              std::function<void(const CallerAnswer&)> done) {
   send(node, post_request("/admin/configuration", "", text),
        [this, change, done = std::move(done)](const CallerAnswer& answer) {
-         const bool whole = answer.ended.outcome == CallOutcome::kComplete;
-         if (whole && answer.status == kOk) {
+         const bool complete = answer.ended.outcome == CallOutcome::kComplete;
+         if (complete && answer.status == kOk) {
            cluster_.recorder().record(
                ConfigurationAccepted{json_number(answer.body, "version"), change});
          }
@@ -74,24 +74,26 @@
        });
 }
 
-void OperatorWorkload::apply_first(std::function<void()> done) {
-  apply(cluster_.nodes().front(), first_configuration(), "change-first",
+void OperatorWorkload::apply_initial_configuration(std::function<void()> done) {
+  apply(cluster_.nodes().front(), initial_configuration(), "change-first",
         [this, done = std::move(done)](const CallerAnswer& answer) {
           if (answer.status == kOk) {
             done();
           } else {
-            cluster_.clock().schedule(kRetryDelay, [this, done] { apply_first(done); });
+            cluster_.clock().schedule(kRetryDelay,
+                                      [this, done] { apply_initial_configuration(done); });
           }
         });
 }
 
-void OperatorWorkload::race() {
-  for (uint32_t index = 0; index < knobs_.racing_operators; ++index) {
+void OperatorWorkload::apply_concurrent_changes() {
+  for (uint32_t index = 0; index < knobs_.concurrent_operators; ++index) {
     change(random_node());
   }
 }
 
-// Reads the text in force, adds a section and applies it with the version that it was read at.
+// Reads the current configuration text, appends a section and applies it with the version that was
+// read.
 void OperatorWorkload::change(const std::string& node) {
   send(node, get_request("/admin/configuration", "format=toml&secrets=1"),
        [this, node](const CallerAnswer& answer) {
@@ -105,28 +107,33 @@
 }
 
 void OperatorWorkload::drain(const std::string& node, const std::string& backend) {
-  order(node, backend, true);
+  set_draining(node, backend, true);
 }
 
 void OperatorWorkload::restore(const std::string& node, const std::string& backend) {
-  order(node, backend, false);
+  set_draining(node, backend, false);
 }
 
-void OperatorWorkload::order(const std::string& node, const std::string& backend, bool leave) {
-  if (!leave) {
-    // From the order on, nodes may send work again.
+void OperatorWorkload::set_draining(const std::string& node, const std::string& backend,
+                                    bool draining) {
+  if (!draining) {
+    // Nodes may send new work from the moment the request is sent.
     cluster_.recorder().record(LeavingChanged{backend, false, node});
   }
-  const std::string path = "/admin/workers/" + backend + (leave ? "/drain" : "/restore");
-  send(node, post_request(path, "", ""), [this, node, backend, leave](const CallerAnswer& answer) {
-    const bool whole = answer.ended.outcome == CallOutcome::kComplete && answer.status == kOk;
-    // The answer tells which start of the back end the order is for. A node that has not heard of
-    // the latest start yet takes it for the one before, so the operator has to repeat it.
-    const bool present = json_number(answer.body, "incarnation") == cluster_.incarnation(backend);
-    if (whole && leave && present && cluster_.running(backend)) {
-      cluster_.recorder().record(LeavingChanged{backend, true, node});
-    }
-  });
+  const std::string path = "/admin/workers/" + backend + (draining ? "/drain" : "/restore");
+  send(node, post_request(path, "", ""),
+       [this, node, backend, draining](const CallerAnswer& answer) {
+         const bool complete =
+             answer.ended.outcome == CallOutcome::kComplete && answer.status == kOk;
+         // The response contains the incarnation of the back end that was drained. A node that has
+         // not learned of the latest restart yet drains the previous incarnation; such a drain does
+         // not count.
+         const bool present =
+             json_number(answer.body, "incarnation") == cluster_.incarnation(backend);
+         if (complete && draining && present && cluster_.running(backend)) {
+           cluster_.recorder().record(LeavingChanged{backend, true, node});
+         }
+       });
 }
 
 }  // namespace chalkshed
--- a/sim/operator_workload.h
+++ b/sim/operator_workload.h
@@ -1,4 +1,4 @@
-// Operators that race one another with changes of the configuration, and drain workers.
+// Operators that apply concurrent configuration changes and drain workers.
 #pragma once
 
 #include <string>
@@ -7,35 +7,36 @@
 
 namespace chalkshed {
 
-// @return whether a tenant of that name stands for a change made by the operators.
+// Each change adds a tenant. @return whether a tenant of that name was added by a change.
 inline bool is_change(const std::string& tenant) { return tenant.starts_with("change-"); }
 
 struct OperatorWorkloadKnobs {
-  Duration mean_interval = std::chrono::seconds(6);  // between races
-  uint32_t racing_operators = 2;
+  Duration mean_interval = std::chrono::seconds(6);  // between rounds of concurrent changes
+  uint32_t concurrent_operators = 2;
 };
 
 class OperatorWorkload {
  public:
   OperatorWorkload(SimulatedCluster& cluster, uint64_t seed,
                    const OperatorWorkloadKnobs& knobs = {});
-  // Puts the first configuration into force; `done` is called once it was accepted.
-  void apply_first(std::function<void()> done);
+  // Applies the initial configuration, with retries; `done` is called once it was accepted.
+  void apply_initial_configuration(std::function<void()> done);
   void start();
   void stop() { timer_->disable(); }
   uint64_t operations() const { return operations_; }
-  // Lets one operator change the configuration through a node, or a random one.
+  // Changes the configuration through a node.
   void change(const std::string& node);
-  // Orders through a node that a worker or back end gets no new work; tried until it is accepted.
+  // Requests through a node that a worker or back end receives no new work. Sent once: a failed
+  // request is not retried.
   void drain(const std::string& node, const std::string& backend);
   void restore(const std::string& node, const std::string& backend);
 
  private:
   void arm();
-  void race();
+  void apply_concurrent_changes();
   void apply(const std::string& node, const std::string& text, const std::string& change,
              std::function<void(const CallerAnswer&)> done);
-  void order(const std::string& node, const std::string& backend, bool leave);
+  void set_draining(const std::string& node, const std::string& backend, bool draining);
   void send(const std::string& node, HttpRequest http, SimulatedCaller::Done done);
   std::string random_node();
 
--- a/sim/safeguards.cc
+++ b/sim/safeguards.cc
@@ -13,7 +13,8 @@
          knobs.cluster.node.roles.batch.safeguards.idempotency_checked = false;
        },
        run_seed},
-      // Either alone keeps a superseded owner from changing a result.
+      // Both are disabled, because either one alone prevents a superseded owner from changing a
+      // result.
       {"batch_lease_and_epoch", Guarantee::kExactlyOnce,
        [](RunKnobs& knobs) {
          BatchSafeguards& safeguards = knobs.cluster.node.roles.batch.safeguards;
@@ -31,7 +32,8 @@
          knobs.cluster.node.roles.batch.safeguards.lease_checked_before_side_effects = false;
        },
        run_cancel_with_paused_owners},
-      // Either alone keeps online requests from waiting behind batch in an engine.
+      // Both are disabled, because either one alone keeps online requests from queueing behind
+      // batch work in an engine.
       {"batch_yields_and_engine_priority", Guarantee::kOnlineBeforeBatch,
        [](RunKnobs& knobs) {
          knobs.cluster.node.roles.routing.safeguards.batch_yields = false;
--- a/sim/safeguards.h
+++ b/sim/safeguards.h
@@ -1,4 +1,4 @@
-// The mechanisms that carry the guarantees, and how a run is made without one of them.
+// The safeguards behind the guarantees, and how to run a simulation with one of them disabled.
 #pragma once
 
 #include <string>
@@ -10,18 +10,18 @@
 
 namespace chalkshed {
 
-// A mechanism and the guarantee that must be seen to fail without it.
+// A safeguard and the guarantee that must be violated when it is disabled.
 struct SafeguardProof {
   std::string_view name;
   Guarantee guarantee;
   void (*disable)(RunKnobs& knobs);
-  // A run in which the mechanism matters.
+  // A run in which the guarantee depends on the safeguard.
   RunResult (*scenario)(uint64_t seed, const RunKnobs& knobs);
 };
 
 const std::vector<SafeguardProof>& safeguard_proofs();
 
-// @return the proof of that name, or null.
+// @return the entry with that name, or null.
 const SafeguardProof* find_safeguard(std::string_view name);
 
 }  // namespace chalkshed
--- a/sim/scenarios.cc
+++ b/sim/scenarios.cc
@@ -10,12 +10,13 @@
 constexpr uint32_t kJobs = 4;
 constexpr uint32_t kJobItems = 250;
 constexpr Duration kWarmUp = std::chrono::milliseconds(1500);
-constexpr Duration kPause = std::chrono::seconds(14);  // well past lease and margin
-constexpr Duration kAfterPause = std::chrono::seconds(10);
+constexpr Duration kFreezeDuration =
+    std::chrono::seconds(14);  // well over the lease duration and margin
+constexpr Duration kRunDuration = std::chrono::seconds(10);
 
 void run_until_accepted(SimulatedRun& run) {
-  constexpr int kMostTurns = 1000;
-  for (int turn = 0; turn < kMostTurns && !run.batch().all_accepted(); ++turn) {
+  constexpr int kMaxSteps = 1000;
+  for (int step = 0; step < kMaxSteps && !run.batch().all_accepted(); ++step) {
     run.cluster().run_for(std::chrono::milliseconds(10));
   }
 }
@@ -45,11 +46,11 @@
   if (cancel) {
     run.batch().cancel_all();
   }
-  run.cluster().run_for(kPause);
+  run.cluster().run_for(kFreezeDuration);
   for (const std::string& node : paused) {
     run.cluster().thaw(node);
   }
-  run.cluster().run_for(kAfterPause);
+  run.cluster().run_for(kRunDuration);
   run.settle();
   return run.check();
 }
@@ -66,29 +67,29 @@
 
 RunResult run_batch_flood(uint64_t seed, const RunKnobs& knobs) {
   RunKnobs flood = knobs;
-  flood.batch.longest_answer_tokens = 400;  // as long as the engines answer
+  flood.batch.max_answer_tokens = 400;  // the longest answers that the engines generate
   flood.batch.cancel_share = 0;
   flood.online.mean_interval = std::chrono::milliseconds(30);
   SimulatedRun run(seed, flood);
   run.boot();
   run.online().start();
   submit_jobs(run, 2 * kJobs, 2 * kJobItems);
-  run.cluster().run_for(kAfterPause);
+  run.cluster().run_for(kRunDuration);
   run.settle();
   return run.check();
 }
 
 RunResult run_garbled_streams(uint64_t seed, const RunKnobs& knobs) {
-  constexpr double kGarbling = 0.02;
+  constexpr double kChunkFaultProbability = 0.02;
   SimulatedRun run(seed, knobs);
   run.boot();
   for (const std::string& worker : run.cluster().workers()) {
-    run.cluster().engine(worker)->set_garbling(kGarbling);
+    run.cluster().engine(worker)->set_chunk_fault_probability(kChunkFaultProbability);
   }
   run.start_workloads();
-  run.cluster().run_for(kAfterPause);
+  run.cluster().run_for(kRunDuration);
   for (const std::string& worker : run.cluster().workers()) {
-    run.cluster().engine(worker)->set_garbling(0);
+    run.cluster().engine(worker)->set_chunk_fault_probability(0);
   }
   run.settle();
   return run.check();
--- a/sim/simulated_backend.h
+++ b/sim/simulated_backend.h
@@ -1,5 +1,5 @@
-// A plain back end as a simulated process: answers each request after a short service time with a
-// text that depends only on the request, and records that it ran.
+// Simulated process of a plain back end: answers each request after a short service time with a
+// text that depends only on the request, and records the execution.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace chalkshed {
 
-// @return the answer of every back end to a request with that body.
+// @return the response body that every back end sends for a request with that body.
 std::string expected_backend_answer(std::string_view body);
 
 class SimulatedBackend : public HttpHandler {
--- a/sim/simulated_caller.cc
+++ b/sim/simulated_caller.cc
@@ -13,13 +13,13 @@
         name_(request.began.call),
         reader_(request.began.kind),
         done_(std::move(done)),
-        patience_(caller.dispatcher().create_timer([this] { give_up(); })) {
-    patience_->enable(request.patience);
+        timeout_timer_(caller.dispatcher().create_timer([this] { on_timeout(); })) {
+    timeout_timer_->enable(request.timeout);
     caller.recorder_.record(request.began);
     const SimulatedHost* node = caller.network_.find_host(request.began.node);
     HttpCallOptions options;
     options.connect_timeout = std::chrono::seconds(3);
-    options.idle_timeout = request.patience + std::chrono::seconds(1);
+    options.idle_timeout = request.timeout + std::chrono::seconds(1);
     call_ = caller.client_.send(node->http_address, request.http, options, *this);
   }
 
@@ -36,7 +36,7 @@
   }
 
  private:
-  void give_up() {
+  void on_timeout() {
     CallEnded ended;
     ended.outcome = CallOutcome::kGaveUp;
     ended.text = reader_.partial_text();
@@ -44,7 +44,7 @@
   }
 
   void finish(CallEnded ended) {
-    patience_->disable();
+    timeout_timer_->disable();
     ended.call = name_;
     caller_.recorder_.record(ended);
     const CallerAnswer answer{std::move(ended), reader_.status(), reader_.body()};
@@ -57,7 +57,7 @@
   const std::string name_;
   AnswerReader reader_;
   Done done_;
-  TimerPtr patience_;
+  TimerPtr timeout_timer_;
   HttpCallPtr call_;
 };
 
--- a/sim/simulated_caller.h
+++ b/sim/simulated_caller.h
@@ -1,4 +1,4 @@
-// A process of callers: sends requests to nodes over the simulated network, reads the answers as a
+// Client process: sends requests to nodes over the simulated network, parses the responses as a
 // client library would, and records both.
 #pragma once
 
@@ -13,16 +13,16 @@
 namespace chalkshed {
 
 struct CallerRequest {
-  CallBegan began;  // `call` is filled in by the caller
+  CallBegan began;  // `call` is set by SimulatedCaller::send()
   HttpRequest http;
-  Duration patience = std::chrono::seconds(20);  // the caller gives up after it
+  Duration timeout = std::chrono::seconds(20);  // the caller abandons the call after this time
 };
 
-// What the caller made of the answer.
+// The response as the caller parsed it.
 struct CallerAnswer {
   CallEnded ended;
-  int status = 0;    // 0: no answer began
-  std::string body;  // as it was received
+  int status = 0;    // 0: no response headers were received
+  std::string body;  // as received
 };
 
 class SimulatedCaller {
@@ -34,7 +34,7 @@
   SimulatedCaller(const SimulatedCaller&) = delete;
   SimulatedCaller& operator=(const SimulatedCaller&) = delete;
 
-  // @param done called once the answer ended or the caller gave up.
+  // @param done called when the response has ended or the call timed out.
   void send(CallerRequest request, Done done);
   Dispatcher& dispatcher() { return *host_.dispatcher; }
   size_t calls_in_progress() const { return calls_.size(); }
--- a/sim/simulated_cluster.cc
+++ b/sim/simulated_cluster.cc
@@ -8,10 +8,10 @@
 
 constexpr uint16_t kHttpPort = 8080;
 constexpr uint16_t kPeerPort = 7946;
-// Numbers of the faults that the cluster records itself begin here.
+// First number of the faults that the cluster records itself; FaultInjector counts from 0.
 constexpr uint64_t kFirstAcknowledgementFault = 1'000'000;
 constexpr Duration kIdleCheckInterval = std::chrono::milliseconds(50);
-// Stopping workers and back ends stay at least this long, so that nodes learn of it.
+// Stopping workers and back ends keep running for at least this long, so that nodes learn of it.
 constexpr Duration kStopNotice = std::chrono::seconds(6);
 
 }  // namespace
@@ -135,7 +135,7 @@
   ended.node.reset();
   ended.engine.reset();
   ended.backend.reset();
-  SimulatedNetwork::drop_dispatcher(*ended.host);
+  SimulatedNetwork::destroy_dispatcher(*ended.host);
   ended.stopping = false;
   recorder_.record(ProcessEnded{ended.host->name});
 }
@@ -164,7 +164,7 @@
     stopped.node->stop([this, name, generation] { exit(name, generation); });
   } else {
     stopped.host->dispatcher->post([this, name] { announce_leaving(name); });
-    exit_when_idle(name, generation, clock_.monotonic_now() + knobs_.stop_patience);
+    exit_when_idle(name, generation, clock_.monotonic_now() + knobs_.stop_timeout);
   }
   publish_machines();
 }
@@ -177,26 +177,27 @@
 }
 
 void SimulatedCluster::exit_when_idle(const std::string& name, uint64_t generation,
-                                      MonotonicTime give_up) {
-  clock_.schedule(kIdleCheckInterval, [this, name, generation, give_up] {
+                                      MonotonicTime deadline) {
+  clock_.schedule(kIdleCheckInterval, [this, name, generation, deadline] {
     Process& stopped = process(name);
     if (stopped.host->generation != generation) {
       return;
     }
     const size_t requests =
         stopped.engine ? stopped.engine->streams() : stopped.backend->requests();
-    const bool told = clock_.monotonic_now() > give_up - knobs_.stop_patience + kStopNotice;
+    const bool notice_elapsed =
+        clock_.monotonic_now() > deadline - knobs_.stop_timeout + kStopNotice;
     const bool frozen = stopped.host->dispatcher->frozen();
-    if ((requests == 0 && told && !frozen) || clock_.monotonic_now() >= give_up) {
+    if ((requests == 0 && notice_elapsed && !frozen) || clock_.monotonic_now() >= deadline) {
       exit(name, generation);
     } else {
-      exit_when_idle(name, generation, give_up);
+      exit_when_idle(name, generation, deadline);
     }
   });
 }
 
 void SimulatedCluster::exit(const std::string& name, uint64_t generation) {
-  // From outside the process's own loop, which ends with it.
+  // Scheduled on the clock, because the process's own event loop is destroyed with it.
   clock_.schedule(Duration::zero(), [this, name, generation] {
     Process& exiting = process(name);
     if (exiting.host->generation != generation) {
--- a/sim/simulated_cluster.h
+++ b/sim/simulated_cluster.h
@@ -1,5 +1,5 @@
-// A whole cluster under virtual time: nodes, engines, plain back ends, the platform and callers,
-// with the faults that processes and machines suffer.
+// A complete cluster in virtual time: nodes, engines, plain back ends, the platform and callers,
+// with operations that inject process and machine faults.
 #pragma once
 
 #include <memory>
@@ -22,8 +22,8 @@
   uint32_t workers = 18;
   uint32_t backends = 3;
   Duration machine_list_lag = std::chrono::seconds(2);
-  // A planned stop of a worker or back end waits this long for its requests.
-  Duration stop_patience = std::chrono::seconds(60);
+  // A planned stop of a worker or back end waits up to this long for its requests.
+  Duration stop_timeout = std::chrono::seconds(60);
   EngineSettings engine;
   NetworkKnobs network;
   SimulatedNodeKnobs node;
@@ -51,7 +51,7 @@
   const std::vector<std::string>& nodes() const { return nodes_; }
   const std::vector<std::string>& workers() const { return workers_; }
   const std::vector<std::string>& backends() const { return backends_; }
-  // All hosts but the callers' in one zone.
+  // @return the hosts of one zone.
   std::vector<std::string> hosts_in_zone(const std::string& zone);
   std::vector<std::string> zone_names() const;
 
@@ -61,20 +61,20 @@
   SimulatedNode* node(const std::string& name);
   SimulatedEngine* engine(const std::string& name);
 
-  // Starts a process of whatever kind the host is for, with a raised incarnation and nothing kept.
+  // Starts the process of a host with the next incarnation number and no state.
   void start(const std::string& name);
-  // Ends it at once. `silently`: with its machine, so that nobody hears of it.
+  // Kills the process immediately. `silently`: its machine fails too, so peers are not notified.
   void kill(const std::string& name, bool silently);
-  // Planned stop: the process finishes what runs and exits.
+  // Planned stop: the process finishes its running requests and exits.
   void stop(const std::string& name);
   bool stopping(const std::string& name);
   void freeze(const std::string& name);
   void thaw(const std::string& name);
-  // Cuts the host off from the platform.
+  // Connects or disconnects a node and the platform services.
   void set_platform_reachable(const std::string& name, bool reachable);
-  // The next node that acknowledges a job dies right after.
+  // Kills the next node that acknowledges a job, right after the acknowledgement.
   void kill_after_next_acknowledgement() { kill_after_acknowledgement_ = true; }
-  void keep_after_acknowledgements() { kill_after_acknowledgement_ = false; }
+  void cancel_kill_after_acknowledgement() { kill_after_acknowledgement_ = false; }
 
   void run_for(Duration duration) { clock_.run_for(duration); }
 
@@ -95,7 +95,7 @@
   Process& process(const std::string& name) { return processes_.at(name); }
   void destroy(Process& process, CloseReason reason, bool silently);
   void announce_leaving(const std::string& name);
-  void exit_when_idle(const std::string& name, uint64_t generation, MonotonicTime give_up);
+  void exit_when_idle(const std::string& name, uint64_t generation, MonotonicTime deadline);
   void exit(const std::string& name, uint64_t generation);
   void on_acknowledgement(const std::string& node);
   void publish_machines();
--- a/sim/simulated_engine.cc
+++ b/sim/simulated_engine.cc
@@ -4,19 +4,20 @@
 
 namespace chalkshed {
 
-// One request on the engine's side.
+// Engine side of one request.
 struct SimulatedEngine::Stream : public GenerateCallbacks {
-  Stream(SimulatedEngine& owner, std::string name, std::shared_ptr<SimulatedConnection> carrier,
-         Deliver hand_over)
+  Stream(SimulatedEngine& owner, std::string name,
+         std::shared_ptr<SimulatedConnection> stream_connection, Deliver deliver_event)
       : engine(owner),
         attempt(std::move(name)),
-        connection(std::move(carrier)),
-        deliver(std::move(hand_over)) {}
+        connection(std::move(stream_connection)),
+        deliver(std::move(deliver_event)) {}
 
   void on_chunk(const GenerateChunk& chunk) override {
     const auto event = [chunk](GenerateCallbacks& callbacks) { callbacks.on_chunk(chunk); };
-    const bool garbled = engine.garbling_ > 0 && engine.random_.unit() < engine.garbling_;
-    const uint64_t copies = garbled ? 2 * engine.random_.below(2) : 1;
+    const bool faulty = engine.chunk_fault_probability_ > 0 &&
+                        engine.random_.unit() < engine.chunk_fault_probability_;
+    const uint64_t copies = faulty ? 2 * engine.random_.below(2) : 1;
     for (uint64_t copy = 0; copy < copies; ++copy) {
       send(event);
     }
@@ -35,7 +36,7 @@
   }
   void send(std::function<void(GenerateCallbacks&)> event) {
     connection->send(ConnectionSide::kServer,
-                     [hand_over = deliver, event = std::move(event)] { hand_over(event); });
+                     [deliver_event = deliver, event = std::move(event)] { deliver_event(event); });
   }
 
   SimulatedEngine& engine;
@@ -95,7 +96,7 @@
   streams_.erase(found);
 }
 
-// The client's side of one stream.
+// Client side of one stream.
 class SimulatedEngineClient::Stream : public GenerateStream {
  public:
   Stream(SimulatedEngineClient& client, const Address& worker, GenerateRequest request,
@@ -130,7 +131,7 @@
     if (request_.fresh_connection || kept == client_.kept_alive_.end()) {
       schedule(round_trip, [this, host] { connect(*host); });
     } else if (kept->second != host->generation) {
-      // The kept-alive connection is stale, which shows only once the reset has returned.
+      // The kept-alive connection is stale; the client notices when the reset arrives.
       client_.kept_alive_.erase(kept);
       sent_ = true;
       schedule(round_trip, [this] { fail(broken()); });
@@ -140,8 +141,8 @@
   }
 
   void connect(SimulatedHost& host) {
-    if (!client_.network_.passes(client_.host_, host) ||
-        !client_.network_.passes(host, client_.host_)) {
+    if (!client_.network_.link_up(client_.host_, host) ||
+        !client_.network_.link_up(host, client_.host_)) {
       return;  // the connect timeout ends the attempt
     }
     if (host.engine == nullptr) {
@@ -185,7 +186,7 @@
   }
   Error broken() const {
     return maybe_run(ErrorKind::kUpstreamFailed,
-                     "the stream of worker " + to_string(worker_) + " broke off",
+                     "the stream from worker " + to_string(worker_) + " was interrupted",
                      "resume on another worker if the request is repeatable");
   }
 
@@ -231,7 +232,7 @@
   };
   host_.dispatcher->schedule(kTimeout, [answer, worker] {
     answer(tl::unexpected(not_run(ErrorKind::kUnavailable,
-                                  "no load report from " + to_string(worker), "ask again later")));
+                                  "no load report from " + to_string(worker), "retry later")));
   });
   SimulatedHost* host = network_.find_host(worker);
   if (host == nullptr || host->engine == nullptr) {
--- a/sim/simulated_engine.h
+++ b/sim/simulated_engine.h
@@ -1,4 +1,4 @@
-// Model engines as simulated processes, and the client by which nodes reach them.
+// Simulated processes of model engines, and the client that nodes use to reach them.
 #pragma once
 
 #include <map>
@@ -11,7 +11,8 @@
 
 namespace chalkshed {
 
-// Batch items are told by their prompts: their priority is what a proof may falsify.
+// Batch items are identified by their prompts, because a run with a disabled safeguard may send
+// them with the wrong priority.
 inline constexpr std::string_view kBatchPromptPrefix = "batch of ";
 inline bool is_batch_prompt(std::string_view prompt) {
   return prompt.starts_with(kBatchPromptPrefix);
@@ -32,9 +33,9 @@
               std::shared_ptr<SimulatedConnection> connection, Deliver deliver);
   EngineModel& model() { return model_; }
   size_t streams() const { return streams_.size(); }
-  // Probability that a chunk of a stream is lost or sent twice on its way, as by a broken proxy.
-  void set_garbling(double probability) { garbling_ = probability; }
-  // How requests that are still in progress end when the process does.
+  // Probability that a chunk of a stream is lost or duplicated in transit, as by a broken proxy.
+  void set_chunk_fault_probability(double probability) { chunk_fault_probability_ = probability; }
+  // Outcome recorded for requests that are still in progress when the process ends.
   void set_exit_outcome(RunOutcome outcome) { exit_outcome_ = outcome; }
 
  private:
@@ -44,9 +45,9 @@
   SimulatedHost& host_;
   HistoryRecorder& recorder_;
   RandomGenerator& random_;
-  double garbling_ = 0;
+  double chunk_fault_probability_ = 0;
   EngineModel model_;
-  std::map<std::string, std::unique_ptr<Stream>> streams_;  // by recorded attempt
+  std::map<std::string, std::unique_ptr<Stream>> streams_;  // by attempt id as recorded
   const uint64_t incarnation_;
   uint64_t next_run_ = 0;
   RunOutcome exit_outcome_ = RunOutcome::kLost;
@@ -66,7 +67,7 @@
   SimulatedNetwork& network_;
   SimulatedHost& host_;
   HistoryRecorder& recorder_;
-  // Idle connections, by the generation of the engine they lead to.
+  // Idle connections: the generation of the process that each one leads to.
   std::map<Address, uint64_t> kept_alive_;
 };
 
--- a/sim/simulated_http.cc
+++ b/sim/simulated_http.cc
@@ -65,7 +65,7 @@
 Error broken_error(CloseReason reason) {
   const std::string message = reason == CloseReason::kExited
                                   ? std::string(kServerExitedMessage)
-                                  : "the connection broke before the answer ended";
+                                  : "the connection was lost before the response was complete";
   return maybe_run(ErrorKind::kUpstreamFailed, message, "resend if the request is repeatable");
 }
 
@@ -113,7 +113,8 @@
     client_.host_.dispatcher->schedule(round_trip, guard([this, host] { connect(*host); }));
   }
 
-  // A kept-alive connection whose server has gone meanwhile looks usable until the reset returns.
+  // A kept-alive connection whose server has ended in the meantime looks usable until the reset
+  // arrives.
   void reuse(SimulatedHost& host) {
     timer_->enable(options_.idle_timeout);
     if (host.generation != kept_generation_) {
@@ -127,8 +128,8 @@
   }
 
   void connect(SimulatedHost& host) {
-    const bool reachable = client_.network_.passes(client_.host_, host) &&
-                           client_.network_.passes(host, client_.host_);
+    const bool reachable = client_.network_.link_up(client_.host_, host) &&
+                           client_.network_.link_up(host, client_.host_);
     if (!reachable || (host.dispatcher && host.dispatcher->frozen() && host.handler == nullptr)) {
       return;  // the connect timeout ends the call
     }
@@ -213,7 +214,7 @@
   bool sent_ = false;
 };
 
-// Collects a whole answer.
+// Collects a complete response.
 class SimulatedHttpClient::Fetch : public HttpCallCallbacks {
  public:
   Fetch(SimulatedHttpClient& client, uint64_t id, Callback<HttpResponse> callback)
--- a/sim/simulated_http.h
+++ b/sim/simulated_http.h
@@ -1,5 +1,5 @@
-// HTTP between simulated processes: the client side with kept-alive connections that may be stale,
-// and the writer that carries answers back.
+// HTTP between simulated processes: a client with kept-alive connections that may be stale, and a
+// response writer.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace chalkshed {
 
-// Message of the error by which a caller learns that the server exited in a planned stop.
+// Error message that tells a caller that the server exited in a planned stop.
 inline constexpr std::string_view kServerExitedMessage = "the server's process exited";
 
 // The client of one process; destroyed with it.
@@ -36,7 +36,7 @@
 
   SimulatedNetwork& network_;
   SimulatedHost& host_;
-  // Idle connections, by the generation of the process they lead to.
+  // Idle connections: the generation of the process that each one leads to.
   std::map<PoolKey, uint64_t> kept_alive_;
   std::map<uint64_t, std::unique_ptr<Fetch>> fetches_;
   uint64_t next_fetch_ = 0;
--- a/sim/simulated_network.cc
+++ b/sim/simulated_network.cc
@@ -62,14 +62,14 @@
   return from.zone == to.zone ? knobs_.within_zone : knobs_.between_zones;
 }
 
-bool SimulatedNetwork::passes(const SimulatedHost& from, const SimulatedHost& to) const {
+bool SimulatedNetwork::link_up(const SimulatedHost& from, const SimulatedHost& to) const {
   return !cuts_.contains({from.name, to.name});
 }
 
 void SimulatedNetwork::send_datagram(const SimulatedHost& from, const Address& to,
                                      std::string_view datagram) {
   const SimulatedHost* receiver = find_host(to);
-  if (receiver == nullptr || !passes(from, *receiver) || random_.unit() < datagram_faults_.loss) {
+  if (receiver == nullptr || !link_up(from, *receiver) || random_.unit() < datagram_faults_.loss) {
     return;
   }
   Duration delay = latency(from, *receiver);
@@ -122,8 +122,8 @@
     return;
   }
   const Duration latency = network_.latency(*sender.host, *receiver.host);
-  if (!network_.passes(*sender.host, *receiver.host) ||
-      !network_.passes(*receiver.host, *sender.host)) {
+  if (!network_.link_up(*sender.host, *receiver.host) ||
+      !network_.link_up(*receiver.host, *sender.host)) {
     lost_ = true;
     schedule_closed(from, network_.knobs().retransmission_limit, CloseReason::kLost);
     return;
@@ -150,12 +150,12 @@
   if (!closer.open) {
     return;
   }
-  const bool can_tell = closer.alive();
+  const bool can_notify = closer.alive();
   closer.open = false;
   closer.on_closed = nullptr;
   End& receiver = end(other(by));
-  const bool reached = !lost_ && network_.passes(*closer.host, *receiver.host);
-  if (can_tell && reached) {
+  const bool reached = !lost_ && network_.link_up(*closer.host, *receiver.host);
+  if (can_notify && reached) {
     schedule_closed(other(by), network_.latency(*closer.host, *receiver.host),
                     CloseReason::kClosed);
   }
@@ -171,7 +171,7 @@
   end(side).open = false;
   end(side).on_closed = nullptr;
   const End& receiver = end(other(side));
-  if (!silently && !lost_ && network_.passes(host, *receiver.host)) {
+  if (!silently && !lost_ && network_.link_up(host, *receiver.host)) {
     schedule_closed(other(side), network_.latency(host, *receiver.host), reason);
   }
 }
@@ -181,16 +181,16 @@
     return;
   }
   end(side).host->dispatcher->schedule(
-      delay, [self = shared_from_this(), side, reason] { self->tell_closed(side, reason); });
+      delay, [self = shared_from_this(), side, reason] { self->notify_closed(side, reason); });
 }
 
-void SimulatedConnection::tell_closed(ConnectionSide side, CloseReason reason) {
-  End& hearer = end(side);
-  if (!hearer.open || !hearer.alive()) {
+void SimulatedConnection::notify_closed(ConnectionSide side, CloseReason reason) {
+  End& notified = end(side);
+  if (!notified.open || !notified.alive()) {
     return;
   }
-  hearer.open = false;
-  if (const auto callback = std::exchange(hearer.on_closed, nullptr)) {
+  notified.open = false;
+  if (const auto callback = std::exchange(notified.on_closed, nullptr)) {
     callback(reason);
   }
 }
--- a/sim/simulated_network.h
+++ b/sim/simulated_network.h
@@ -1,5 +1,5 @@
-// Network between simulated processes: latency by zone, cuts, one-way loss, and datagrams that are
-// lost, duplicated, delayed and reordered. Connections keep their order, as TCP does.
+// Network between simulated processes: latency by zone, partitions, one-way loss, and datagrams
+// that are lost, duplicated, delayed and reordered. Connections deliver in order, as TCP does.
 #pragma once
 
 #include <functional>
@@ -19,7 +19,7 @@
 class SimulatedConnection;
 class SimulatedEngine;
 
-// A machine with at most one process of ours. The process is whoever starts and ends it.
+// A machine that runs at most one simulated process. The owner of that process starts and ends it.
 struct SimulatedHost {
   std::string name;
   std::string zone;
@@ -27,32 +27,32 @@
   Address peer_address;
   // Event loop of the process; null while none runs.
   std::unique_ptr<VirtualDispatcher> dispatcher;
-  // Raised with each start and end, so that what was sent to one process never reaches the next.
+  // Incremented with each start and end, so that messages to one process never reach the next.
   uint64_t generation = 0;
   HttpHandler* handler = nullptr;
-  bool listening = false;  // takes new connections
+  bool listening = false;  // accepts new connections
   SimulatedEngine* engine = nullptr;
   DatagramTransport::Receiver receiver;
   std::vector<std::weak_ptr<SimulatedConnection>> connections;
 };
 
-// Why a connection ended for the side that hears of it.
+// Why a connection ended, as reported to the remaining side.
 enum class CloseReason {
   kClosed,  // the other side closed it
-  kReset,   // the other side's process died
+  kReset,   // the other side's process crashed
   kExited,  // the other side's process exited in a planned stop
-  kLost,    // the network no longer carries it
+  kLost,    // the network lost a message of it
 };
 
 struct NetworkKnobs {
   Duration within_zone = std::chrono::microseconds(250);  // one way
   Duration between_zones = std::chrono::milliseconds(1);
   Duration outside = std::chrono::milliseconds(3);  // to and from callers, whose zone is empty
-  // A sender gives up an unacknowledged connection after this time.
+  // A sender closes a connection whose data stays unacknowledged for this time.
   Duration retransmission_limit = std::chrono::seconds(5);
 };
 
-// Probabilities for each datagram between any two hosts; may be changed while it runs.
+// Probabilities for each datagram between any two hosts; may be changed during a run.
 struct DatagramFaults {
   double loss = 0;
   double duplication = 0;
@@ -71,19 +71,19 @@
 
   // Starts a process: gives the host an event loop.
   void start_process(SimulatedHost& host);
-  // Ends the process. Peers hear of it at once, except when the whole machine is lost
-  // (`silently`). The caller destroys the process's objects afterwards, and then its event loop
-  // through drop_dispatcher().
+  // Ends the process. Peers are notified after the network latency, except when the machine itself
+  // fails (`silently`). The caller destroys the process's objects afterwards, and then its event
+  // loop with destroy_dispatcher().
   void end_process(SimulatedHost& host, CloseReason reason, bool silently);
-  static void drop_dispatcher(SimulatedHost& host) { host.dispatcher.reset(); }
+  static void destroy_dispatcher(SimulatedHost& host) { host.dispatcher.reset(); }
 
-  // Cuts one direction. Cuts add up: each must be healed.
+  // Blocks one direction. Calls are counted: each needs its own heal_one_way().
   void cut_one_way(const std::string& from, const std::string& to) { ++cuts_[{from, to}]; }
   void heal_one_way(const std::string& from, const std::string& to);
   DatagramFaults& datagram_faults() { return datagram_faults_; }
 
   Duration latency(const SimulatedHost& from, const SimulatedHost& to) const;
-  bool passes(const SimulatedHost& from, const SimulatedHost& to) const;
+  bool link_up(const SimulatedHost& from, const SimulatedHost& to) const;
   void send_datagram(const SimulatedHost& from, const Address& to, std::string_view datagram);
   // Opens a connection to a running process; the caller has checked that it can be reached.
   std::shared_ptr<SimulatedConnection> connect(SimulatedHost& client, SimulatedHost& server);
@@ -106,19 +106,19 @@
 
 enum class ConnectionSide { kClient, kServer };
 
-// One connection. After its first lost message nothing more passes.
+// One connection. After the first lost message nothing more is delivered.
 class SimulatedConnection : public std::enable_shared_from_this<SimulatedConnection> {
  public:
   SimulatedConnection(SimulatedNetwork& network, SimulatedHost& client, SimulatedHost& server);
 
   // Runs `deliver` on the other side's event loop, in order.
   void send(ConnectionSide from, std::function<void()> deliver);
-  // Calls `callback` at most once, when `side` learns that the connection ended.
+  // Calls `callback` at most once, when `side` is notified that the connection ended.
   void set_on_closed(ConnectionSide side, std::function<void(CloseReason)> callback);
-  // Ends the connection; nothing is delivered to `by` any more, and the other side hears of it
-  // after what was sent before.
+  // Closes the connection: nothing more is delivered to `by`, and the other side is notified after
+  // the data sent before.
   void close(ConnectionSide by);
-  // The process of `side` ended.
+  // The process on `host` ended.
   void on_process_ended(const SimulatedHost& host, CloseReason reason, bool silently);
 
  private:
@@ -135,7 +135,7 @@
     return side == ConnectionSide::kClient ? ConnectionSide::kServer : ConnectionSide::kClient;
   }
   void schedule_closed(ConnectionSide side, Duration delay, CloseReason reason);
-  void tell_closed(ConnectionSide side, CloseReason reason);
+  void notify_closed(ConnectionSide side, CloseReason reason);
 
   SimulatedNetwork& network_;
   End client_;
@@ -143,7 +143,7 @@
   bool lost_ = false;
 };
 
-// Datagrams of one process.
+// Datagram transport of one process.
 class SimulatedDatagramTransport : public DatagramTransport {
  public:
   SimulatedDatagramTransport(SimulatedNetwork& network, SimulatedHost& host)
--- a/sim/simulated_node.cc
+++ b/sim/simulated_node.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Tells when a successful whole answer was written.
+// Response writer that reports when a complete successful response was written.
 class AcknowledgementWriter : public ResponseWriter {
  public:
   AcknowledgementWriter(ResponseWriterPtr inner, std::function<void()> on_acknowledgement)
@@ -20,8 +20,8 @@
   void finish() override { inner_->finish(); }
   void respond(const HttpResponse& response) override {
     inner_->respond(response);
-    constexpr int kFirstOther = 300;
-    if (response.status < kFirstOther) {
+    constexpr int kFirstNonSuccessStatus = 300;
+    if (response.status < kFirstNonSuccessStatus) {
       on_acknowledgement_();
     }
   }
@@ -116,7 +116,7 @@
     exited();
     return;
   }
-  // In the process's own loop: a frozen process hears of the order when it thaws.
+  // Posted to the process's own event loop: a frozen process handles the stop after it thaws.
   context_.host.dispatcher->post([this, exited = std::move(exited)] {
     context_.host.listening = false;
     node_->begin_drain(exited);
--- a/sim/simulated_node.h
+++ b/sim/simulated_node.h
@@ -1,4 +1,4 @@
-// The process of one node: the product's own roles over simulated time, network and platform.
+// The process of one node: the production Node over simulated time, network and platform.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,8 @@
 
 struct SimulatedNodeKnobs {
   NodeKnobs roles;
-  // Proofs only: a planned stop exits without finishing what runs.
+  // Disabled only to test the safeguard: a planned stop then exits without finishing running
+  // requests.
   bool drain_before_exit = true;
 };
 
@@ -25,7 +26,7 @@
   EmulatedPlatform& platform;
   HistoryRecorder& recorder;
   RandomGenerator& random;
-  // Called when a job was acknowledged, right after the answer was written.
+  // Called when a job was acknowledged, right after the response was written.
   std::function<void()> on_acknowledgement;
 };
 
@@ -41,7 +42,7 @@
   // Planned stop; `exited` is called when the process may end.
   void stop(std::function<void()> exited);
   void set_platform_reachable(bool reachable);
-  // @return whether the node has the operators' configuration in force.
+  // @return whether a configuration that an operator applied is in effect on the node.
   bool serves() const;
   Node& roles() { return *node_; }
 
--- a/sim/simulated_run.cc
+++ b/sim/simulated_run.cc
@@ -11,7 +11,7 @@
 constexpr Duration kBootLimit = std::chrono::seconds(60);
 constexpr Duration kHealLimit = std::chrono::seconds(200);
 constexpr Duration kFinalReadLimit = std::chrono::seconds(60);
-constexpr Duration kRollPause = std::chrono::seconds(1);
+constexpr Duration kRestartPause = std::chrono::seconds(1);
 constexpr Duration kConfigurationSpread = std::chrono::seconds(15);
 
 }  // namespace
@@ -44,7 +44,7 @@
 
 void SimulatedRun::boot() {
   bool accepted = false;
-  operators_.apply_first([&accepted] { accepted = true; });
+  operators_.apply_initial_configuration([&accepted] { accepted = true; });
   run_until(kBootLimit, [&] {
     return accepted &&
            std::all_of(cluster_.nodes().begin(), cluster_.nodes().end(),
@@ -59,32 +59,32 @@
 }
 
 void SimulatedRun::inject_faults() {
-  const Duration range = knobs_.longest_fault_gap - knobs_.shortest_fault_gap;
+  const Duration range = knobs_.max_fault_gap - knobs_.min_fault_gap;
   while (faults_.injected() < knobs_.faults) {
     const auto extra = random_.below(static_cast<uint64_t>(range.count()));
-    cluster_.run_for(knobs_.shortest_fault_gap + Duration(static_cast<int64_t>(extra)));
-    faults_.inject_random(knobs_.longest_fault);
+    cluster_.run_for(knobs_.min_fault_gap + Duration(static_cast<int64_t>(extra)));
+    faults_.inject_random(knobs_.max_fault_duration);
     if (random_.unit() < knobs_.double_fault_share) {
-      faults_.inject_random(knobs_.longest_fault);
+      faults_.inject_random(knobs_.max_fault_duration);
     }
   }
 }
 
-void SimulatedRun::roll_processes() {
+void SimulatedRun::rolling_restart() {
   run_until(kHealLimit, [this] { return faults_.healed(); });
-  const auto roll = [this](const std::vector<std::string>& names, uint64_t first) {
+  const auto restart = [this](const std::vector<std::string>& names, uint64_t first) {
     const std::string& name = names[first % names.size()];
     cluster_.stop(name);
     run_until(kHealLimit, [&] { return !cluster_.running(name); });
     cluster_.start(name);
-    cluster_.run_for(kRollPause);
+    cluster_.run_for(kRestartPause);
   };
   const uint64_t first = random_.next();
-  for (uint32_t index = 0; index < knobs_.rolled_nodes; ++index) {
-    roll(cluster_.nodes(), first % cluster_.nodes().size() + index);
+  for (uint32_t index = 0; index < knobs_.restarted_nodes; ++index) {
+    restart(cluster_.nodes(), first % cluster_.nodes().size() + index);
   }
-  for (uint32_t index = 0; index < knobs_.rolled_workers; ++index) {
-    roll(cluster_.workers(), first % cluster_.workers().size() + index);
+  for (uint32_t index = 0; index < knobs_.restarted_workers; ++index) {
+    restart(cluster_.workers(), first % cluster_.workers().size() + index);
   }
 }
 
@@ -114,7 +114,7 @@
   run.boot();
   run.start_workloads();
   run.inject_faults();
-  run.roll_processes();
+  run.rolling_restart();
   run.settle();
   return run.check();
 }
--- a/sim/simulated_run.h
+++ b/sim/simulated_run.h
@@ -1,4 +1,4 @@
-// One run of a simulated cluster from a seed: workloads, random faults, healing, and the check.
+// One seeded run of a simulated cluster: workloads, random faults, recovery and the history check.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace chalkshed {
 
-// Knobs of a run, with leases short enough that a run of a minute sees them lapse.
+// Knobs of a run. The leases are short enough to expire within a run of a minute.
 struct RunKnobs {
   RunKnobs();
 
@@ -23,12 +23,12 @@
   OperatorWorkloadKnobs operators;
   uint32_t faults = 12;
   double double_fault_share = 0.3;  // a second fault at the same time
-  Duration shortest_fault_gap = std::chrono::seconds(2);
-  Duration longest_fault_gap = std::chrono::seconds(5);
-  Duration longest_fault = std::chrono::seconds(8);
-  uint32_t rolled_nodes = 3;  // planned stops in turn, after the faults
-  uint32_t rolled_workers = 3;
-  // After healing, everything must have finished within this time.
+  Duration min_fault_gap = std::chrono::seconds(2);
+  Duration max_fault_gap = std::chrono::seconds(5);
+  Duration max_fault_duration = std::chrono::seconds(8);
+  uint32_t restarted_nodes = 3;  // planned restarts, one after the other, after the faults
+  uint32_t restarted_workers = 3;
+  // After the faults have ended, all requests and jobs must finish within this time.
   Duration settle_limit = std::chrono::seconds(120);
 };
 
@@ -39,19 +39,20 @@
   uint64_t operations = 0;
 };
 
-// A cluster with its workloads, for scenarios that choose their own faults.
+// A cluster with its workloads; scenarios inject their own faults.
 class SimulatedRun {
  public:
   SimulatedRun(uint64_t seed, const RunKnobs& knobs);
 
-  // Starts the nodes, applies the first configuration and waits until all nodes serve.
+  // Applies the initial configuration and waits until all nodes serve.
   void boot();
   void start_workloads();
-  // Injects the number of random faults that the knobs name.
+  // Injects the number of random faults set in the knobs.
   void inject_faults();
-  // Stops and restarts some nodes and workers in turn, under load.
-  void roll_processes();
-  // Stops the workloads, lets all faults heal and everything finish, and reads all outputs.
+  // Restarts some nodes and workers one after the other, under load.
+  void rolling_restart();
+  // Waits for all faults to end, stops the workloads, waits for all work to finish and reads all
+  // outputs.
   void settle();
   RunResult check();
 
@@ -62,7 +63,7 @@
   FaultInjector& faults() { return faults_; }
 
  private:
-  // Runs until `condition` holds or the limit has passed. @return whether it holds.
+  // Runs until `condition` holds or `limit` has elapsed. @return whether it holds.
   bool run_until(Duration limit, const std::function<bool()>& condition);
 
   const RunKnobs knobs_;
--- a/sim/unused_dependencies.h
+++ b/sim/unused_dependencies.h
@@ -1,5 +1,5 @@
-// Dependencies that a test or experiment must hand to a component but that it never uses: calls
-// are dropped, and no callback is ever called.
+// Stubs of dependencies that a component requires but a test or experiment does not use: calls are
+// ignored, and no callback is ever called.
 #pragma once
 
 #include <string>
--- a/sim/virtual_time.cc
+++ b/sim/virtual_time.cc
@@ -33,8 +33,8 @@
   now_ = end;
 }
 
-// One-shot timer on a virtual dispatcher. A firing that came due while the process was frozen is
-// delivered at the thaw, unless the timer was disabled or re-armed first.
+// One-shot timer on a virtual dispatcher. An expiry while the process is frozen is delivered when
+// it thaws, unless the timer was disabled or re-armed first.
 class VirtualTimer : public Timer {
  public:
   VirtualTimer(VirtualClock& clock, std::shared_ptr<VirtualDispatcher::State> process,
@@ -81,7 +81,7 @@
       return;
     }
     shared->armed = false;
-    // A copy: the callback may destroy its own timer.
+    // Copied, because the callback may destroy its own timer.
     const std::function<void()> callback = shared->callback;
     callback();
   }
@@ -95,10 +95,11 @@
 
 VirtualDispatcher::~VirtualDispatcher() {
   state_->alive = false;
-  // Out of the state first: what a callback holds may end timers, or post once more.
+  // Moved out of the state first: destroying a callback may destroy timers or post again.
   std::exchange(state_->held, {}).clear();
   std::exchange(state_->scheduled, {}).clear();
-  // call_after() leaves a timer to its own callback; nobody else would end those that still wait.
+  // The timers of call_after() are owned by their own callbacks, so the pending ones must be
+  // released here.
   while (!state_->timers.empty()) {
     std::function<void()>* callback = state_->timers.extract(state_->timers.begin()).mapped();
     const std::function<void()> dropped = std::exchange(*callback, nullptr);
--- a/sim/virtual_time.h
+++ b/sim/virtual_time.h
@@ -1,4 +1,4 @@
-// Virtual time: an event queue that many simulated processes share. Runs are deterministic: events
+// Virtual time: an event queue shared by many simulated processes. Runs are deterministic: events
 // at the same instant run in the order in which they were scheduled.
 #pragma once
 
@@ -25,9 +25,9 @@
   // Schedules `callback` to run `delay` from now.
   EventId schedule(Duration delay, std::function<void()> callback);
   void cancel(const EventId& event);
-  // Runs the next event, if there is one. @return whether it ran.
+  // Runs the next event, if there is one. @return whether there was one.
   bool run_next();
-  // Runs all events up to `duration` from now, and advances the time to there.
+  // Runs all events up to `duration` from now, and advances the clock by `duration`.
   void run_for(Duration duration);
   size_t pending() const { return events_.size(); }
 
@@ -37,8 +37,8 @@
   std::map<EventId, std::function<void()>> events_;
 };
 
-// The event loop of one simulated process. It can be frozen, as a paused machine is: while frozen
-// nothing runs, and everything that came due runs when it thaws. Destroying it drops its events.
+// The event loop of one simulated process. It can be frozen like a paused machine: while frozen
+// nothing runs, and everything that became due runs when it thaws. Destroying it drops its events.
 class VirtualDispatcher : public Dispatcher {
  public:
   explicit VirtualDispatcher(VirtualClock& clock)
@@ -46,7 +46,7 @@
   ~VirtualDispatcher() override;
   TimerPtr create_timer(std::function<void()> callback) override;
   void post(std::function<void()> callback) override;
-  // Runs `callback` on this loop after `delay`; used by simulated networks to deliver.
+  // Runs `callback` on this loop after `delay`; used by simulated networks to deliver messages.
   void schedule(Duration delay, std::function<void()> callback);
 
   void freeze() { state_->frozen = true; }
@@ -57,9 +57,9 @@
   struct State {
     bool alive = true;
     bool frozen = false;
-    std::vector<std::function<void()>> held;  // came due while frozen
-    // What has not come due, and the callbacks of all timers, by the order of their making. The
-    // process owns them, not the clock, so that they end with it.
+    std::vector<std::function<void()>> held;  // became due while frozen
+    // Callbacks that are not due yet, and the callbacks of all timers, in creation order. They are
+    // owned by the process, not by the clock, so that they are destroyed with it.
     std::map<uint64_t, std::function<void()>> scheduled;
     std::map<uint64_t, std::function<void()>*> timers;
     uint64_t next_number = 0;
--- a/sim/workload_requests.h
+++ b/sim/workload_requests.h
@@ -1,4 +1,4 @@
-// The HTTP requests of the simulated callers and operators.
+// HTTP requests of the simulated callers and operators, and parsing of responses.
 #pragma once
 
 #include <string>
@@ -14,7 +14,7 @@
 
 HttpRequest completion_request(const std::string& model, const std::string& prompt,
                                uint32_t max_tokens, bool stream);
-// The request's text is the body.
+// The text becomes the request body.
 HttpRequest service_request(const std::string& text);
 
 struct BatchItemRequest {
@@ -26,13 +26,13 @@
 HttpRequest get_request(const std::string& path, const std::string& query = "");
 HttpRequest post_request(const std::string& path, const std::string& query, std::string body);
 
-// @return the request with the operators' key.
+// @return the request with the operators' API key.
 HttpRequest as_operator(HttpRequest request);
 
-// @return a member of a JSON object, "" when there is none.
+// @return a string member of a JSON object; "" if there is none.
 std::string json_text(const std::string& body, const std::string& member);
 uint64_t json_number(const std::string& body, const std::string& member);
-// Reads the JSON Lines of a job's output. Malformed lines become lines without an id.
+// Reads the JSON Lines of a job's output. A malformed line becomes an entry without a custom id.
 std::vector<JobOutputLine> read_output_lines(const std::string& body);
 
 }  // namespace chalkshed
--- a/tests/sim/regression_test.cc
+++ b/tests/sim/regression_test.cc
@@ -1,4 +1,4 @@
-// Faults that the simulator found, each as the smallest scenario that shows it.
+// Regression tests for bugs found by the simulator, each with a minimal scenario.
 #include <gtest/gtest.h>
 
 #include "sim/simulated_run.h"
@@ -10,7 +10,7 @@
   return result.check[guarantee].violations.size();
 }
 
-TEST(Regression, PlannedStopWaitsForASubmissionUnderWay) {
+TEST(Regression, PlannedStopWaitsForPendingSubmissions) {
   SimulatedRun run(1, RunKnobs());
   run.boot();
   run.cluster().platform().table_service().faults.slowness = 900;
@@ -25,7 +25,7 @@
   EXPECT_EQ(violations(run.check(), Guarantee::kPlannedStopCutsNothing), 0U);
 }
 
-// The node held a chunk with some results, but no worker any more to run the rest on.
+// A node owned a chunk with some results but had no worker left for the remaining items.
 TEST(Regression, AChunkWithResultsMovesOnWhenItsNodeHoldsNoWorker) {
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     SimulatedRun run(seed, RunKnobs());
@@ -49,7 +49,8 @@
   }
 }
 
-// Small clusters sent a rumour too seldom: one drain mark in four took over a second.
+// Small clusters retransmitted gossip updates too rarely: one drain mark in four took over a
+// second.
 TEST(Regression, DrainMarksReachEveryNodeWithinASecond) {
   SimulatedRun run(1, RunKnobs());
   run.boot();
--- a/tests/sim/simulated_network_test.cc
+++ b/tests/sim/simulated_network_test.cc
@@ -49,13 +49,13 @@
   EXPECT_EQ(received, "a");
 }
 
-TEST_F(SimulatedNetworkTest, PeersHearOfAProcessThatDiesButNotOfALostMachine) {
+TEST_F(SimulatedNetworkTest, PeersAreNotifiedOfACrashButNotOfALostMachine) {
   for (const bool silently : {false, true}) {
     const auto connection = network_.connect(one_, other_);
     bool heard = false;
     connection->set_on_closed(ConnectionSide::kClient, [&](CloseReason) { heard = true; });
     network_.end_process(other_, CloseReason::kReset, silently);
-    SimulatedNetwork::drop_dispatcher(other_);
+    SimulatedNetwork::destroy_dispatcher(other_);
     clock_.run_for(std::chrono::seconds(1));
     EXPECT_EQ(heard, !silently);
     network_.start_process(other_);
--- a/tests/sim/simulated_run_test.cc
+++ b/tests/sim/simulated_run_test.cc
@@ -1,4 +1,4 @@
-// Whole clusters under random faults. More seeds: scripts/sim.
+// Complete clusters under random faults. scripts/sim runs more seeds.
 #include "sim/simulated_run.h"
 
 #include <gtest/gtest.h>
--- a/tests/sim/virtual_time_test.cc
+++ b/tests/sim/virtual_time_test.cc
@@ -22,7 +22,7 @@
   EXPECT_EQ(order, (std::vector<int>{1, 2, 3}));
 }
 
-TEST(VirtualTimeTest, FrozenProcessRunsDueTimersAtTheThaw) {
+TEST(VirtualTimeTest, FrozenProcessRunsDueTimersWhenItThaws) {
   VirtualClock clock;
   VirtualDispatcher dispatcher(clock);
   int fired = 0;
@@ -57,11 +57,11 @@
   EXPECT_EQ(ran, 0);
 }
 
-// What a simulated process had posted lived on in the clock until the whole run ended, and calls
-// after a delay longer still, held by their own timers. An attempt at a worker that waited to be
-// destroyed in a later turn so outlived the worker: the address checker reported its use of freed
-// memory, and the leak checker the timers.
-TEST(VirtualTimeTest, WhatAProcessHadScheduledEndsWithIt) {
+// Callbacks posted by a simulated process used to stay in the clock until the end of the run, and
+// the timers of call_after() were leaked. A request attempt whose deferred destruction was still
+// pending outlived its worker: AddressSanitizer reported a use after free, LeakSanitizer the
+// timers.
+TEST(VirtualTimeTest, ScheduledCallbacksEndWithTheProcess) {
   VirtualClock clock;
   auto held = std::make_shared<int>();
   const std::weak_ptr<int> watched = held;
