--- a/bench/bench_environment.h
+++ b/bench/bench_environment.h
@@ -1,5 +1,5 @@
-// Fixed surroundings of the nodes in a virtual run: membership that never changes, one
-// configuration, a policy that gives one answer, and stand-ins for what the run does not use.
+// Stubs for the nodes of a virtual run: a membership and configuration that never change, a policy
+// with a constant decision, and no-op implementations of dependencies that the run does not use.
 #pragma once
 
 #include "src/configuration/configuration.h"
@@ -23,7 +23,7 @@
   size_t self_;
 };
 
-class SilentGossip : public Gossip {
+class NullGossip : public Gossip {
  public:
   void publish(GossipEntry /*entry*/) override {}
   std::optional<GossipEntry> find(const std::string&, const std::string&) const override {
--- a/bench/cluster_run.cc
+++ b/bench/cluster_run.cc
@@ -12,14 +12,15 @@
 constexpr int kStatusOk = 200;
 constexpr Duration kBootLimit = std::chrono::seconds(30);
 constexpr Duration kBootPoll = std::chrono::milliseconds(200);
-// Time for the nodes to learn of one another and of the workers before the trace begins.
+// Time for the nodes to discover one another and the workers before the trace begins.
 constexpr Duration kWarmUp = std::chrono::seconds(4);
-// Time for online requests in flight at the trace's end; batch stops counting at its end.
+// Time for online requests in flight at the end of the trace; batch items that finish in it are not
+// counted.
 constexpr Duration kDrain = std::chrono::seconds(10);
 
 double milliseconds(Duration duration) { return static_cast<double>(duration.count()) / 1000; }
 
-// Records the latencies of one streamed answer.
+// Records the latencies of one streamed response.
 class OnlineWriter : public ResponseWriter {
  public:
   OnlineWriter(RunRecord& record, const VirtualClock& clock, const OnlineRequest& request,
@@ -28,7 +29,8 @@
 
   void start(int /*status*/, const HttpHeaders& /*headers*/) override {}
   void write(std::string_view chunk) override {
-    // Each token is an event of its own; the last ones carry the finish and the end mark.
+    // Each token is one event; the last events carry the finish reason and the end-of-stream
+    // marker.
     if (chunk.find("\"finish_reason\":null") == std::string_view::npos) {
       return;
     }
@@ -58,13 +60,14 @@
   std::optional<MonotonicTime> last_token_at_;
 };
 
-// Takes one whole answer.
-class AnswerWriter : public ResponseWriter {
+// Collects one complete response.
+class ResponseCollector : public ResponseWriter {
  public:
-  explicit AnswerWriter(std::function<void(const HttpResponse&)> done) : done_(std::move(done)) {}
-  void start(int status, const HttpHeaders& /*headers*/) override { streamed_.status = status; }
-  void write(std::string_view chunk) override { streamed_.body += chunk; }
-  void finish() override { done_(streamed_); }
+  explicit ResponseCollector(std::function<void(const HttpResponse&)> done)
+      : done_(std::move(done)) {}
+  void start(int status, const HttpHeaders& /*headers*/) override { response_.status = status; }
+  void write(std::string_view chunk) override { response_.body += chunk; }
+  void finish() override { done_(response_); }
   void respond(const HttpResponse& response) override { done_(response); }
   void abort() override {}
   size_t buffered_bytes() const override { return 0; }
@@ -72,7 +75,7 @@
 
  private:
   std::function<void(const HttpResponse&)> done_;
-  HttpResponse streamed_;
+  HttpResponse response_;
 };
 
 ClusterKnobs cluster_knobs(const Deployment& deployment, const RunSettings& settings) {
@@ -134,12 +137,12 @@
     for (Duration waited{0}; waited < kBootLimit && !all_serve(); waited += kBootPoll) {
       const std::string text = configuration_text(deployment_, settings_);
       send(cluster_.nodes().front(), as_operator(post_request("/admin/configuration", "", text)),
-           std::make_unique<AnswerWriter>(
-               [this](const HttpResponse& response) { last_answer_ = response.body; }));
+           std::make_unique<ResponseCollector>(
+               [this](const HttpResponse& response) { last_response_ = response.body; }));
       cluster_.run_for(kBootPoll);
     }
     if (!all_serve()) {
-      throw std::runtime_error("the nodes have no configuration: " + last_answer_);
+      throw std::runtime_error("the nodes did not apply the configuration: " + last_response_);
     }
   }
 
@@ -158,8 +161,9 @@
     if (!settings_.batch) {
       return;
     }
-    for (size_t number = 0; number < trace_.heaps.size(); ++number) {
-      clock.schedule(trace_.heaps[number].send_at, [this, number] { send_heap(number); });
+    for (size_t number = 0; number < trace_.batch_submissions.size(); ++number) {
+      clock.schedule(trace_.batch_submissions[number].send_at,
+                     [this, number] { submit_batch(number); });
     }
   }
 
@@ -171,14 +175,14 @@
          std::make_unique<OnlineWriter>(record_, cluster_.clock(), request, sent_at));
   }
 
-  void send_heap(size_t number) {
+  void submit_batch(size_t number) {
     std::vector<BatchItemRequest> items;
-    for (const std::string& prompt : trace_.heaps[number].prompts) {
+    for (const std::string& prompt : trace_.batch_submissions[number].prompts) {
       items.push_back({"item-" + std::to_string(items.size()), prompt, kBatchMaxTokens});
     }
     const std::string& node = cluster_.nodes()[number % cluster_.nodes().size()];
     send(node, submit_job_request("heap-" + std::to_string(number), items),
-         std::make_unique<AnswerWriter>([this](const HttpResponse& response) {
+         std::make_unique<ResponseCollector>([this](const HttpResponse& response) {
            record_.batch_failed += response.status == kStatusOk ? 0 : 1;
          }));
   }
@@ -189,7 +193,7 @@
   const Trace& trace_;
   const RunSettings& settings_;
   RunRecord record_;
-  std::string last_answer_;
+  std::string last_response_;
   SimulatedCluster cluster_;
 };
 
--- a/bench/cluster_run.h
+++ b/bench/cluster_run.h
@@ -1,5 +1,5 @@
-// Replays a trace on whole nodes under virtual time: gateway, policies, router, batch jobs with
-// their leases and stores, membership and configuration, over the simulator's network.
+// Replays a trace on complete nodes in virtual time: gateway, policies, router, batch jobs with
+// their leases and stores, membership and configuration, over the simulated network.
 #pragma once
 
 #include "bench/run_record.h"
@@ -8,8 +8,8 @@
 
 namespace chalkshed::bench {
 
-// Deterministic: the same arguments give the same record. Throws std::runtime_error when the nodes
-// do not come to serve.
+// Deterministic: the same arguments give the same record. Throws std::runtime_error if the nodes
+// do not start to serve in time.
 RunRecord run_on_cluster(const Deployment& deployment, const Trace& trace,
                          const RunSettings& settings);
 
--- a/bench/configuration_traffic.cc
+++ b/bench/configuration_traffic.cc
@@ -9,7 +9,7 @@
 
 constexpr Duration kDay = std::chrono::hours(24);
 constexpr uint32_t kManifestPages = 16;
-constexpr uint32_t kHundred = 100;
+constexpr uint32_t kPercent = 100;
 constexpr size_t kDigestDigits = 32;
 
 std::string policy_source(const ConfigurationTrafficSettings& settings, uint64_t number) {
@@ -22,7 +22,7 @@
   return source;
 }
 
-Configuration first_configuration(const ConfigurationTrafficSettings& settings) {
+Configuration initial_configuration(const ConfigurationTrafficSettings& settings) {
   Configuration configuration;
   for (uint32_t number = 0; number < settings.models; ++number) {
     const std::string name = "service-" + std::to_string(number);
@@ -44,32 +44,33 @@
 }
 
 template <typename Section>
-Section& any_of(std::map<std::string, Section>& sections, RandomGenerator& random) {
+Section& random_section(std::map<std::string, Section>& sections, RandomGenerator& random) {
   return std::next(sections.begin(), static_cast<std::ptrdiff_t>(random.below(sections.size())))
       ->second;
 }
 
 void change(Configuration& configuration, const ConfigurationTrafficSettings& settings,
             uint32_t number, RandomGenerator& random) {
-  const uint64_t choice = random.below(kHundred);
+  const uint64_t choice = random.below(kPercent);
   if (choice < settings.tenant_changes) {
-    any_of(configuration.tenants, random).requests_per_second = 10 + number;
+    random_section(configuration.tenants, random).requests_per_second = 10 + number;
   } else if (choice < settings.tenant_changes + settings.service_changes) {
-    any_of(configuration.services, random).request_deadline = std::chrono::seconds(1 + number);
+    random_section(configuration.services, random).request_deadline =
+        std::chrono::seconds(1 + number);
   } else {
-    any_of(configuration.policies, random).source = policy_source(settings, number);
+    random_section(configuration.policies, random).source = policy_source(settings, number);
   }
 }
 
-// Bytes of the calls that bring one change, by the ways that the product does not take.
+// Adds the bytes of the calls that transfer one change with each alternative protocol.
 void add_alternatives(const Configuration& configuration, const ConfigurationManifest& before,
                       const ConfigurationTrafficSettings& settings, ConfigurationTraffic& traffic) {
   const SplitConfiguration split = split_configuration(configuration, settings.tenant_buckets);
   const std::string digest(kDigestDigits, '0');
   const uint64_t request = encode(BlockRequest{{digest}}).size() + settings.call_overhead_bytes;
-  const std::string whole = format_configuration(configuration);
-  traffic.snapshot_bytes = whole.size();
-  traffic.whole_snapshots += request + encode(BlockReply{{whole}}).size();
+  const std::string snapshot = format_configuration(configuration);
+  traffic.snapshot_bytes = snapshot.size();
+  traffic.whole_snapshots += request + encode(BlockReply{{snapshot}}).size();
 
   uint64_t changed_blocks = 0;
   for (const auto& [name, changed] : manifest_delta(before, split.manifest).changed) {
@@ -103,7 +104,7 @@
     cluster.add(knobs);
   }
   cluster.run(1000);
-  Configuration configuration = first_configuration(settings);
+  Configuration configuration = initial_configuration(settings);
   ConfigurationVersion version = 0;
   const auto apply = [&] {
     ConfigurationNode& node = cluster[version % settings.nodes];
@@ -138,15 +139,17 @@
     traffic.installs += node->versions.size();
   }
   // Every call is received by one node and sent by another.
-  const uint64_t sides = 2;
+  const uint64_t nodes_per_call = 2;
   traffic.manifest_delta =
-      sides * (traffic.manifest_delta - bytes_before + calls * settings.call_overhead_bytes) /
+      nodes_per_call *
+      (traffic.manifest_delta - bytes_before + calls * settings.call_overhead_bytes) /
       settings.nodes;
-  traffic.exchanges =
-      sides * (traffic.exchanges + exchanges * settings.call_overhead_bytes) / settings.nodes;
-  traffic.whole_snapshots *= sides;
-  traffic.one_level_manifest *= sides;
-  traffic.two_level_manifest *= sides;
+  traffic.exchanges = nodes_per_call *
+                      (traffic.exchanges + exchanges * settings.call_overhead_bytes) /
+                      settings.nodes;
+  traffic.whole_snapshots *= nodes_per_call;
+  traffic.one_level_manifest *= nodes_per_call;
+  traffic.two_level_manifest *= nodes_per_call;
   traffic.calls_per_change =
       static_cast<double>(calls) / settings.nodes / std::max(1U, settings.changes);
   return traffic;
--- a/bench/experiment.cc
+++ b/bench/experiment.cc
@@ -29,7 +29,7 @@
   return summary;
 }
 
-// Latency curve as [fraction, milliseconds] pairs.
+// Latency percentiles as [fraction, milliseconds] pairs.
 json curve(const std::vector<double>& samples) {
   json points = json::array();
   for (const double fraction : {0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.98,
@@ -71,12 +71,12 @@
           {"capacity_items", experiment.capacity_items}};
 }
 
-// One run of one trace. Tasks of the first trace's first variant come first.
+// One run of one trace. The first task is the first variant on the first trace.
 struct Task {
-  size_t variant = 0;  // kSchedule: the thin run that tells the bounds who served what
+  size_t variant = 0;  // kBoundsRun: router-only run that the bounds are computed from
   size_t trace = 0;
 };
-constexpr size_t kSchedule = std::numeric_limits<size_t>::max();
+constexpr size_t kBoundsRun = std::numeric_limits<size_t>::max();
 constexpr size_t kMainRuns = 2;
 
 std::vector<Task> make_tasks(size_t variants, size_t traces) {
@@ -86,7 +86,7 @@
     for (size_t variant = 0; variant < count; ++variant) {
       tasks.push_back({variant, trace});
     }
-    tasks.push_back({kSchedule, trace});
+    tasks.push_back({kBoundsRun, trace});
   }
   return tasks;
 }
@@ -104,7 +104,7 @@
   }
 }
 
-RunRecord run_schedule(const Deployment& deployment, const Trace& trace, RunSettings settings) {
+RunRecord run_for_bounds(const Deployment& deployment, const Trace& trace, RunSettings settings) {
   settings.batch = false;
   return run_virtually(deployment, trace, settings);
 }
@@ -137,8 +137,8 @@
   std::vector<RunRecord> records(tasks.size());
   run_tasks(tasks.size(), [&](size_t index) {
     const Task& task = tasks[index];
-    records[index] = task.variant == kSchedule
-                         ? run_schedule(deployment, traces[task.trace], variants.front())
+    records[index] = task.variant == kBoundsRun
+                         ? run_for_bounds(deployment, traces[task.trace], variants.front())
                          : run_on_cluster(deployment, traces[task.trace], variants[task.variant]);
   });
 
@@ -151,7 +151,7 @@
   const EngineSettings& engine = variants.front().engine;
   for (size_t index = 0; index < tasks.size(); ++index) {
     const Trace& trace = traces[tasks[index].trace];
-    if (tasks[index].variant != kSchedule) {
+    if (tasks[index].variant != kBoundsRun) {
       merge(merged[tasks[index].variant], records[index]);
       if (index == 0) {
         first_base = records[index];
@@ -169,7 +169,7 @@
       first_capacity_items = capacity;
     }
     experiment.online_requests += trace.online.size();
-    experiment.batch_items += trace.heaps.size() * deployment.heap_items;
+    experiment.batch_items += trace.batch_submissions.size() * deployment.heap_items;
   }
   for (size_t variant = 0; variant < variants.size(); ++variant) {
     const bool main = variant < kMainRuns;
--- a/bench/experiment.h
+++ b/bench/experiment.h
@@ -1,4 +1,4 @@
-// The runs of one deployment and trace, their ratios and their results as JSON.
+// Runs the variants of an experiment on one deployment, compares them and formats the results.
 #pragma once
 
 #include <iosfwd>
@@ -10,7 +10,7 @@
 
 namespace chalkshed::bench {
 
-// One run with its ratios over the run without batch.
+// One run with its ratios to the run without batch.
 struct RunSummary {
   std::string name;
   RunRecord record;
@@ -18,26 +18,26 @@
   double first_token_p99_ratio = 0;
   double steady_p99_ratio = 0;  // first token of requests outside of bursts
   double inter_token_p95_ratio = 0;
-  double batch_fill = 0;     // of what the informed filler did
-  double capacity_fill = 0;  // of what no scheduler can exceed
+  double batch_fill = 0;     // fraction of the items of the informed filler
+  double capacity_fill = 0;  // fraction of the upper bound for any scheduler
 };
 
 struct Experiment {
   Deployment deployment;
   size_t online_requests = 0;
   size_t batch_items = 0;
-  // The first is without batch, the second the product's; both over all traces. The others are over
-  // the first trace.
+  // The first is without batch, the second uses the production scheduler; both cover all traces.
+  // The others cover the first trace only.
   std::vector<RunSummary> runs;
   InformedFill informed;
   double capacity_items = 0;
 };
 
-// The runs of an experiment: without batch, with it and, unless `brief`, the simpler ways.
+// The runs of an experiment: without batch, with batch and, unless `brief`, with simpler policies.
 std::vector<RunSettings> run_variants(const RunSettings& base, bool brief);
 
-// Runs all variants, several at once. A burst's slowest requests are few and depend on chance, so
-// the two main runs are taken over all traces and their samples put together.
+// Runs all variants, several in parallel. The slowest requests of a burst are few and vary
+// randomly, so the two main runs cover all traces and their samples are merged.
 Experiment run_experiment(const Deployment& deployment, const std::vector<Trace>& traces,
                           const std::vector<RunSettings>& variants);
 
--- a/bench/informed_filler.cc
+++ b/bench/informed_filler.cc
@@ -12,32 +12,32 @@
   double base = 0;
   double sequence = 0;
   double prompt_token = 0;
-  double batch_token = 0;  // a batch sequence in a step, its share of prompts included
-  uint32_t most_sequences = 0;
-  uint32_t most_prompt_tokens = 0;
+  double batch_token = 0;  // a batch sequence in a step, including its share of prompt tokens
+  uint32_t max_sequences = 0;
+  uint32_t max_prompt_tokens = 0;
 };
 
 struct Pending {
   const EngineArrival* arrival = nullptr;
   double prompt_left = 0;
   uint32_t tokens_left = 0;
-  double latest_first_token = 0;  // at the engine, to keep the bound
+  double latest_first_token = 0;  // latest time at the engine that meets the bound
 };
 
-// What a filler aims at. All in microseconds.
-struct Aim {
-  double bound_us = 0;           // first-token latency that no request may exceed
-  double exempt_us = 0;          // but for those that were slower than this without batch
-  double protect_us = 0;         // requests slower than this without batch were queueing
+// Constraints of a filler. All in microseconds.
+struct FillTarget {
+  double bound_us = 0;           // maximum first-token latency
+  double exempt_us = 0;          // requests slower than this without batch are exempt
+  double protect_us = 0;         // requests slower than this without batch were queued
   double protect_before_us = 0;  // batch stops this long before such a request arrives
-  double begin = 0;              // batch runs from here
+  double begin = 0;              // start of the batch work
   double end = 0;
 };
 
-// One worker, filled step by step.
+// Simulates one worker and adds batch work step by step.
 class WorkerFiller {
  public:
-  WorkerFiller(const Costs& costs, const Aim& aim) : costs_(costs), aim_(aim) {}
+  WorkerFiller(const Costs& costs, const FillTarget& target) : costs_(costs), target_(target) {}
 
   void add(const EngineArrival& arrival) { arrivals_.push_back(&arrival); }
 
@@ -54,20 +54,21 @@
       }
       step(first_token_ms);
     }
-    fill_idle(aim_.end);
+    fill_idle(target_.end);
   }
 
   double batch_tokens() const { return batch_tokens_; }
 
  private:
-  // Around requests that queue, any batch sequence lengthens the queue for all behind it. No batch
-  // runs from somewhat before they arrive to their first token without batch.
+  // While requests are queued, any batch sequence delays everything behind it in the queue. No
+  // batch runs from `protect_before_us` before such a request arrives until its first token without
+  // batch.
   void protect_queues() {
     for (const EngineArrival* arrival : arrivals_) {
-      if (arrival->first_token_us < aim_.protect_us) {
+      if (arrival->first_token_us < target_.protect_us) {
         continue;
       }
-      const double from = arrival->arrived_us - aim_.protect_before_us;
+      const double from = arrival->arrived_us - target_.protect_before_us;
       const double to = arrival->arrived_us + arrival->first_token_us;
       if (!protected_.empty() && from <= protected_.back().to) {
         protected_.back().to = std::max(protected_.back().to, to);
@@ -86,7 +87,7 @@
 
   void admit() {
     while (next_ < arrivals_.size() && arrivals_[next_]->arrived_us <= now_ &&
-           online_.size() < costs_.most_sequences) {
+           online_.size() < costs_.max_sequences) {
       online_.push_back(pending(*arrivals_[next_]));
       ++next_;
     }
@@ -97,49 +98,49 @@
     result.arrival = &arrival;
     result.prompt_left = arrival.prompt_tokens;
     result.tokens_left = arrival.answer_tokens;
-    const bool exempt = arrival.first_token_us > aim_.exempt_us;
-    const double allowed = aim_.bound_us - arrival.path_us;
-    result.latest_first_token = exempt ? aim_.end * 2 : arrival.arrived_us + allowed;
+    const bool exempt = arrival.first_token_us > target_.exempt_us;
+    const double allowed = target_.bound_us - arrival.path_us;
+    result.latest_first_token = exempt ? target_.end * 2 : arrival.arrived_us + allowed;
     return result;
   }
 
-  // No online request on the worker: full steps, the last one cut to end in time.
+  // No online request on the worker: full steps, the last one shortened to end in time.
   void fill_idle(double until) {
-    const double from = std::max(now_, aim_.begin);
-    const double to = std::min(until, aim_.end);
+    const double from = std::max(now_, target_.begin);
+    const double to = std::min(until, target_.end);
     if (to > from) {
-      const double step = costs_.base + costs_.most_sequences * costs_.batch_token;
-      batch_tokens_ += costs_.most_sequences * (to - from) / step;
+      const double step = costs_.base + costs_.max_sequences * costs_.batch_token;
+      batch_tokens_ += costs_.max_sequences * (to - from) / step;
     }
   }
 
-  // The latest end of the step that begins now.
+  // @return the latest end of the current step that meets the bound.
   double latest_end(double online_cost) const {
-    double latest = aim_.end * 2;
+    double latest = target_.end * 2;
     for (const Pending& request : online_) {
       if (request.prompt_left > 0) {
         latest = std::min(latest, request.latest_first_token);
       }
     }
-    const double longest = now_ + online_cost + costs_.most_sequences * costs_.batch_token;
+    const double longest_step_end = now_ + online_cost + costs_.max_sequences * costs_.batch_token;
     for (size_t index = next_; index < arrivals_.size(); ++index) {
-      if (arrivals_[index]->arrived_us > longest) {
+      if (arrivals_[index]->arrived_us > longest_step_end) {
         break;
       }
-      const Pending coming = pending(*arrivals_[index]);
-      // Its own step comes behind this one, with all online sequences and its prompt in it.
+      const Pending upcoming = pending(*arrivals_[index]);
+      // Its own step follows the current one, with all online sequences and its prompt.
       const double own_step = costs_.base + costs_.sequence * (online_.size() + 1.0) +
-                              costs_.prompt_token * coming.prompt_left;
-      const double limit = coming.latest_first_token - own_step;
-      if (limit >= coming.arrival->arrived_us) {
-        latest = std::min(latest, std::max(limit, coming.arrival->arrived_us));
+                              costs_.prompt_token * upcoming.prompt_left;
+      const double limit = upcoming.latest_first_token - own_step;
+      if (limit >= upcoming.arrival->arrived_us) {
+        latest = std::min(latest, std::max(limit, upcoming.arrival->arrived_us));
       }
     }
     return latest;
   }
 
   void step(std::vector<double>& first_token_ms) {
-    double prompt_budget = costs_.most_prompt_tokens;
+    double prompt_budget = costs_.max_prompt_tokens;
     double prompt_tokens = 0;
     for (Pending& request : online_) {
       const double part = std::min(prompt_budget, request.prompt_left);
@@ -148,18 +149,19 @@
     }
     const double online_cost =
         costs_.base + costs_.sequence * online_.size() + costs_.prompt_token * prompt_tokens;
-    const double room = latest_end(online_cost) - now_ - online_cost;
-    const double free = costs_.most_sequences - static_cast<double>(online_.size());
-    const bool counts = now_ >= aim_.begin && now_ < aim_.end && !in_protected_time();
+    const double time_budget = latest_end(online_cost) - now_ - online_cost;
+    const double free_slots = costs_.max_sequences - static_cast<double>(online_.size());
+    const bool batch_allowed = now_ >= target_.begin && now_ < target_.end && !in_protected_time();
     const double batch =
-        counts ? std::clamp(std::floor(room / costs_.batch_token), 0.0, free) : 0.0;
+        batch_allowed ? std::clamp(std::floor(time_budget / costs_.batch_token), 0.0, free_slots)
+                      : 0.0;
     batch_tokens_ += batch;
     now_ += online_cost + batch * costs_.batch_token;
     finish_step(first_token_ms);
   }
 
   void finish_step(std::vector<double>& first_token_ms) {
-    double prompt_budget = costs_.most_prompt_tokens;
+    double prompt_budget = costs_.max_prompt_tokens;
     for (Pending& request : online_) {
       const bool prefilling = request.prompt_left > 0;
       const double part = std::min(prompt_budget, request.prompt_left);
@@ -183,7 +185,7 @@
   };
 
   const Costs& costs_;
-  const Aim& aim_;
+  const FillTarget& target_;
   std::vector<Interval> protected_;
   size_t next_protected_ = 0;
   std::vector<const EngineArrival*> arrivals_;
@@ -199,14 +201,14 @@
   costs.sequence = static_cast<double>(engine.step_per_sequence.count());
   costs.prompt_token = static_cast<double>(engine.step_per_prompt_token.count());
   costs.batch_token = costs.sequence + costs.prompt_token * work.prompt_tokens_per_token;
-  costs.most_sequences = engine.max_running_sequences;
-  costs.most_prompt_tokens = engine.max_prompt_tokens_per_step;
+  costs.max_sequences = engine.max_running_sequences;
+  costs.max_prompt_tokens = engine.max_prompt_tokens_per_step;
   return costs;
 }
 
 InformedFill fill_within(const Deployment& deployment, const RunRecord& online_only,
-                         const Costs& costs, const BatchWork& work, const Aim& aim) {
-  std::vector<WorkerFiller> workers(deployment.workers, WorkerFiller(costs, aim));
+                         const Costs& costs, const BatchWork& work, const FillTarget& target) {
+  std::vector<WorkerFiller> workers(deployment.workers, WorkerFiller(costs, target));
   for (const EngineArrival& arrival : online_only.arrivals) {
     workers[arrival.worker].add(arrival);
   }
@@ -227,20 +229,20 @@
   const Costs costs = costs_of(engine, work);
   const double base_p99_ms = percentile(online_only.first_token_ms, 0.99);
   const double bound_ms = deployment.tail_bound * base_p99_ms;
-  Aim aim;
-  aim.exempt_us = 1000 * base_p99_ms;
-  aim.begin = static_cast<double>(trace.heaps.front().send_at.count());
-  aim.end = static_cast<double>(trace.length.count());
-  // The filler looks one step ahead, so it tries how far it must protect queues and how much below
-  // the bound it must aim for the percentile to keep the bound; the best that keeps it counts.
+  FillTarget target;
+  target.exempt_us = 1000 * base_p99_ms;
+  target.begin = static_cast<double>(trace.batch_submissions.front().send_at.count());
+  target.end = static_cast<double>(trace.length.count());
+  // The filler looks only one step ahead. Tries several protection times around queues and targets
+  // below the bound, and returns the best result whose percentile meets the bound.
   InformedFill best;
   for (const double protect : {2.0, 1.0, 0.7, 0.4, 0.2, 0.1}) {
     for (const double before_us : {15e3, 250e3, 500e3, 1e6, 2e6}) {
       for (const double below : {1.0, 0.96, 0.92}) {
-        aim.protect_us = 1000 * protect * base_p99_ms;
-        aim.protect_before_us = before_us;
-        aim.bound_us = 1000 * below * bound_ms;
-        const InformedFill fill = fill_within(deployment, online_only, costs, work, aim);
+        target.protect_us = 1000 * protect * base_p99_ms;
+        target.protect_before_us = before_us;
+        target.bound_us = 1000 * below * bound_ms;
+        const InformedFill fill = fill_within(deployment, online_only, costs, work, target);
         if (fill.first_token_p99_ms <= bound_ms && fill.items > best.items) {
           best = fill;
         }
--- a/bench/informed_filler.h
+++ b/bench/informed_filler.h
@@ -1,13 +1,13 @@
-// What a batch filler with full knowledge of the trace could have done within a bound on the online
-// tail. It is granted more than any real scheduler has:
-//  - it knows every arrival and every answer's length, on every worker, without delay;
-//  - batch sequences pause and continue between steps at no cost and need no memory;
-//  - batch prompts are prefilled in the thinnest slices, their shared prefixes once;
+// Estimates what an oracle batch scheduler with full knowledge of the trace achieves within a bound
+// on the online tail latency. It has advantages over any real scheduler:
+//  - it knows every arrival and the length of every answer, on every worker, without delay;
+//  - batch sequences pause and resume between steps at no cost and need no memory;
+//  - batch prompts are prefilled in arbitrarily small chunks, their shared prefixes once;
 //  - while no online request is on a worker, its last batch step ends just when the next arrives.
-// Online requests keep the workers that they had without batch. In every step the filler takes the
-// most sequences with which no online request, arrived or to arrive before the step's end, misses
-// the bound. It may ignore the requests beyond the percentile, which are slow without batch too,
-// and runs nothing around requests that queue, as far as the bound needs.
+// Online requests keep the workers that they had without batch. In every step the filler runs the
+// largest number of sequences with which no online request that has arrived, or arrives before the
+// end of the step, misses the bound. It may ignore requests above the percentile, which are slow
+// without batch too, and runs no batch around queued requests as far as the bound requires.
 #pragma once
 
 #include "bench/run_record.h"
@@ -16,8 +16,8 @@
 namespace chalkshed::bench {
 
 struct InformedFill {
-  double items = 0;               // batch items done
-  double first_token_p99_ms = 0;  // of online requests beside them
+  double items = 0;               // completed batch items
+  double first_token_p99_ms = 0;  // of the online requests in the same run
 };
 
 // @param online_only the record of the same trace without batch.
--- a/bench/knob_overrides.h
+++ b/bench/knob_overrides.h
@@ -1,4 +1,4 @@
-// Knobs of a run set by name from the command line, for tuning.
+// Sets knobs of a run by name from the command line, for tuning.
 #pragma once
 
 #include <string>
--- a/bench/live_bench.cc
+++ b/bench/live_bench.cc
@@ -20,8 +20,8 @@
 constexpr uint32_t kStreamAnswerTokens = 256;
 constexpr uint32_t kHopWarmUp = 20;
 constexpr Duration kPingInterval = std::chrono::milliseconds(10);
-constexpr Duration kStartPatience = std::chrono::seconds(20);
-constexpr Duration kStartPause = std::chrono::milliseconds(200);
+constexpr Duration kStartTimeout = std::chrono::seconds(20);
+constexpr Duration kStartRetryDelay = std::chrono::milliseconds(200);
 constexpr Duration kStreamWarmUp = std::chrono::seconds(1);
 
 double milliseconds(Duration duration) { return static_cast<double>(duration.count()) / 1000; }
@@ -59,7 +59,7 @@
   }
 
  private:
-  HttpRequest through_node(const std::string& prompt, uint32_t max_tokens) const {
+  HttpRequest node_request(const std::string& prompt, uint32_t max_tokens) const {
     HttpRequest request;
     request.method = "POST";
     request.path = "/v1/completions";
@@ -74,7 +74,7 @@
     return request;
   }
 
-  HttpRequest straight(const std::string& prompt, uint32_t max_tokens) {
+  HttpRequest direct_request(const std::string& prompt, uint32_t max_tokens) {
     GenerateRequest generate;
     generate.attempt_id = "bench-" + std::to_string(next_attempt_++);
     generate.model = settings_.model;
@@ -93,37 +93,38 @@
     }
   }
 
-  // A node that just started refuses requests until it knows the workers' marks.
+  // A node that has just started refuses requests until it knows the drain marks of the workers.
   void wait_until_served() {
-    const MonotonicTime give_up = calls_.now() + kStartPatience;
+    const MonotonicTime deadline = calls_.now() + kStartTimeout;
     TimerPtr wake = dispatcher_.create_timer([] {});
-    while (!calls_.send_and_wait(settings_.node, through_node("Are you ready?", 1)).succeeded) {
-      if (calls_.now() > give_up) {
+    while (!calls_.send_and_wait(settings_.node, node_request("Are you ready?", 1)).succeeded) {
+      if (calls_.now() > deadline) {
         throw std::runtime_error("the node does not serve requests");
       }
-      wake->enable(kStartPause);
+      wake->enable(kStartRetryDelay);
       calls_.run_until([&] { return !wake->enabled(); });
     }
   }
 
-  // One connection each way, requests in turn, so that both meet the same state of the machine.
+  // Alternates direct requests and requests through the node, one at a time, so that both are
+  // measured under the same machine load.
   json measure_hop() {
-    std::vector<double> hop_whole;
+    std::vector<double> hop_total;
     std::vector<double> hop_first;
-    std::vector<double> direct_whole;
+    std::vector<double> direct_total;
     std::vector<double> direct_first;
     for (uint32_t number = 0; number < settings_.hop_requests + kHopWarmUp; ++number) {
       const std::string prompt = "Hop question number " + std::to_string(number);
       const CallOutcome direct =
-          calls_.send_and_wait(settings_.worker, straight(prompt, kHopAnswerTokens));
+          calls_.send_and_wait(settings_.worker, direct_request(prompt, kHopAnswerTokens));
       const CallOutcome hop =
-          calls_.send_and_wait(settings_.node, through_node(prompt, kHopAnswerTokens));
+          calls_.send_and_wait(settings_.node, node_request(prompt, kHopAnswerTokens));
       check(direct);
       check(hop);
       if (number >= kHopWarmUp) {
-        hop_whole.push_back(milliseconds(hop.whole));
+        hop_total.push_back(milliseconds(hop.total));
         hop_first.push_back(milliseconds(hop.first_byte));
-        direct_whole.push_back(milliseconds(direct.whole));
+        direct_total.push_back(milliseconds(direct.total));
         direct_first.push_back(milliseconds(direct.first_byte));
       }
     }
@@ -131,14 +132,14 @@
                           double fraction) {
       return percentile(over, fraction) / percentile(under, fraction);
     };
-    return {{"hop_p50_ratio", ratio(hop_whole, direct_whole, 0.5)},
-            {"hop_p99_ratio", ratio(hop_whole, direct_whole, 0.99)},
+    return {{"hop_p50_ratio", ratio(hop_total, direct_total, 0.5)},
+            {"hop_p99_ratio", ratio(hop_total, direct_total, 0.99)},
             {"hop_first_token_p50_ratio", ratio(hop_first, direct_first, 0.5)},
             {"hop_first_token_p99_ratio", ratio(hop_first, direct_first, 0.99)},
-            {"straight_p50_ms", percentile(direct_whole, 0.5)},
-            {"straight_p99_ms", percentile(direct_whole, 0.99)},
-            {"hop_p50_ms", percentile(hop_whole, 0.5)},
-            {"hop_p99_ms", percentile(hop_whole, 0.99)}};
+            {"straight_p50_ms", percentile(direct_total, 0.5)},
+            {"straight_p99_ms", percentile(direct_total, 0.99)},
+            {"hop_p50_ms", percentile(hop_total, 0.5)},
+            {"hop_p99_ms", percentile(hop_total, 0.99)}};
   }
 
   HttpRequest ping_request() const {
@@ -149,7 +150,7 @@
     return request;
   }
 
-  // Open loop: a ping every interval whatever became of the ones before.
+  // Open loop: sends a ping every interval without waiting for earlier ones.
   std::vector<double> ping() {
     std::vector<double> latencies;
     uint32_t sent = 0;
@@ -161,7 +162,7 @@
         calls_.send(settings_.node, request, begin + kPingInterval * sent,
                     [&](const CallOutcome& outcome) {
                       failed += outcome.succeeded ? 0 : 1;
-                      latencies.push_back(milliseconds(outcome.whole));
+                      latencies.push_back(milliseconds(outcome.total));
                     });
         ++sent;
       }
@@ -181,14 +182,14 @@
     constexpr std::string_view kField = "\"completion_tokens\":";
     const size_t found = outcome.tail.rfind(kField);
     if (found == std::string::npos) {
-      throw std::runtime_error("a stream ended without its usage");
+      throw std::runtime_error("a stream ended without a usage event");
     }
     return std::strtoull(outcome.tail.c_str() + found + kField.size(), nullptr, 10);
   }
 
   void start_stream() {
     const std::string prompt = "Stream question number " + std::to_string(next_attempt_++);
-    calls_.send(settings_.node, through_node(prompt, kStreamAnswerTokens), calls_.now(),
+    calls_.send(settings_.node, node_request(prompt, kStreamAnswerTokens), calls_.now(),
                 [this](const CallOutcome& outcome) {
                   check(outcome);
                   streamed_tokens_ += tokens_of(outcome);
--- a/bench/live_bench.h
+++ b/bench/live_bench.h
@@ -1,5 +1,5 @@
-// Measurements over real processes: what a hop through a node costs, the tokens a node carries, and
-// what batch work does to pings of a plain service.
+// Measurements with real processes: the overhead of a hop through a node, the token throughput of a
+// node, and the effect of batch work on the latency of pings to a plain service.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 struct LiveSettings {
   Address node;    // the node that is measured
-  Address worker;  // an engine, for requests straight to it
+  Address worker;  // an engine, for direct requests
   std::string model;
   std::string plain_service;
   std::string online_key;  // API keys of tenants without limits
--- a/bench/live_calls.cc
+++ b/bench/live_calls.cc
@@ -38,8 +38,9 @@
  private:
   void finish(bool succeeded) {
     outcome_.succeeded = succeeded;
-    outcome_.whole = calls_.now() - intended_;
-    // The call is inside its own callback; it goes in a later turn.
+    outcome_.total = calls_.now() - intended_;
+    // The call is inside its own callback, so it is destroyed in a later iteration of the event
+    // loop.
     calls_.dispatcher_.post([&calls = calls_, number = number_] { calls.end(number); });
     done_(outcome_);
   }
--- a/bench/live_calls.h
+++ b/bench/live_calls.h
@@ -15,11 +15,11 @@
 struct CallOutcome {
   bool succeeded = false;
   Duration first_byte{0};  // of the body, from the intended send time
-  Duration whole{0};
+  Duration total{0};
   std::string tail;  // the body's last bytes
 };
 
-// Sends calls and hands their outcomes back. Latency counts from the intended send time.
+// Sends calls and reports their outcomes. Latency is measured from the intended send time.
 class LiveCalls {
  public:
   using Done = std::function<void(const CallOutcome&)>;
@@ -30,7 +30,7 @@
   LiveCalls& operator=(const LiveCalls&) = delete;
 
   void send(const Address& server, const HttpRequest& request, MonotonicTime intended, Done done);
-  // Sends a call and runs the loop until it ended.
+  // Sends a call and runs the event loop until it has ended.
   CallOutcome send_and_wait(const Address& server, const HttpRequest& request);
   void run_until(const std::function<bool()>& condition);
   MonotonicTime now() const { return time_source_.monotonic_now(); }
--- a/bench/trace.cc
+++ b/bench/trace.cc
@@ -10,10 +10,10 @@
 
 constexpr uint32_t kBytesPerToken = 4;
 constexpr uint32_t kOnlineMaxTokens = 256;
-constexpr uint32_t kShortestQuestion = 15;  // tokens
-constexpr uint32_t kQuestionSpread = 90;
-constexpr uint32_t kShortestItem = 60;
-constexpr uint32_t kItemSpread = 140;
+constexpr uint32_t kMinQuestionTokens = 15;  // tokens
+constexpr uint32_t kQuestionTokenRange = 90;
+constexpr uint32_t kMinItemTokens = 60;
+constexpr uint32_t kItemTokenRange = 140;
 
 std::string random_text(RandomGenerator& random, uint32_t tokens) {
   constexpr std::string_view kLetters = "abcdefghijklmnopqrstuvwxyz     .";
@@ -51,7 +51,7 @@
       add_burst(burst);
     }
     std::ranges::stable_sort(trace_.online, {}, &OnlineRequest::send_at);
-    add_heaps();
+    add_submissions();
     return std::move(trace_);
   }
 
@@ -63,7 +63,8 @@
     if (random_.unit() < knobs_.long_question_fraction) {
       request.prompt = documents_[random_.below(documents_.size())];
     }
-    const auto tokens = static_cast<uint32_t>(kShortestQuestion + random_.below(kQuestionSpread));
+    const auto tokens =
+        static_cast<uint32_t>(kMinQuestionTokens + random_.below(kQuestionTokenRange));
     request.prompt += random_text(random_, tokens);
     request.max_tokens = kOnlineMaxTokens;
     request.in_burst = in_burst;
@@ -82,7 +83,7 @@
     }
   }
 
-  // Bursts stand evenly in the trace, each moved by up to a second.
+  // Bursts are spaced evenly over the trace, each shifted by up to a second.
   void add_burst(uint32_t number) {
     const Duration shift(static_cast<int64_t>(random_.below(1'000'000)));
     const Duration begin = knobs_.length * (2 * number + 1) / (2 * knobs_.bursts) + shift;
@@ -92,16 +93,16 @@
     }
   }
 
-  void add_heaps() {
-    for (Duration at(0); at < knobs_.length; at += knobs_.heap_interval) {
-      BatchHeap heap;
-      heap.send_at = at + Duration(static_cast<int64_t>(random_.below(500'000)));
+  void add_submissions() {
+    for (Duration at(0); at < knobs_.length; at += knobs_.submission_interval) {
+      BatchSubmission submission;
+      submission.send_at = at + Duration(static_cast<int64_t>(random_.below(500'000)));
       const std::string& shared = templates_[random_.below(templates_.size())];
       for (uint32_t item = 0; item < deployment_.heap_items; ++item) {
-        const auto tokens = static_cast<uint32_t>(kShortestItem + random_.below(kItemSpread));
-        heap.prompts.push_back(shared + random_text(random_, tokens));
+        const auto tokens = static_cast<uint32_t>(kMinItemTokens + random_.below(kItemTokenRange));
+        submission.prompts.push_back(shared + random_text(random_, tokens));
       }
-      trace_.heaps.push_back(std::move(heap));
+      trace_.batch_submissions.push_back(std::move(submission));
     }
   }
 
--- a/bench/trace.h
+++ b/bench/trace.h
@@ -1,5 +1,5 @@
-// Seeded traces: what callers send and when. The same trace is replayed in every run, with and
-// without batch.
+// Seeded traces of the requests that callers send. The same trace is replayed in every run, with
+// and without batch.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
   bool in_burst = false;
 };
 
-struct BatchHeap {
+struct BatchSubmission {
   Duration send_at{0};
   std::vector<std::string> prompts;
 };
@@ -27,17 +27,17 @@
   Duration length{0};
   uint32_t shared_prefix_tokens = 0;  // of every batch prompt
   std::vector<OnlineRequest> online;  // ordered by send_at
-  std::vector<BatchHeap> heaps;
+  std::vector<BatchSubmission> batch_submissions;
 };
 
 struct TraceKnobs {
   Duration length = std::chrono::seconds(60);
-  double long_question_fraction = 0.2;  // questions over one of a few shared documents
+  double long_question_fraction = 0.2;  // questions about one of a few shared documents
   uint32_t documents = 8;
   uint32_t document_tokens = 800;
   uint32_t bursts = 2;
   Duration burst_length = std::chrono::milliseconds(500);
-  Duration heap_interval = std::chrono::seconds(9);
+  Duration submission_interval = std::chrono::seconds(9);
   uint32_t batch_templates = 4;
   uint32_t template_tokens = 400;
 };
--- a/bench/upper_bound.cc
+++ b/bench/upper_bound.cc
@@ -10,7 +10,7 @@
 
 double microseconds(Duration duration) { return static_cast<double>(duration.count()); }
 
-// Engine time of one token when every step is full.
+// Engine time per token when every step is full.
 double token_cost(const EngineSettings& engine) {
   return microseconds(engine.step_base) / engine.max_running_sequences +
          microseconds(engine.step_per_sequence);
@@ -30,8 +30,8 @@
   double items = 0;
   double tokens = 0;
   double prompt_tokens = 0;
-  for (const BatchHeap& heap : trace.heaps) {
-    for (const std::string& prompt : heap.prompts) {
+  for (const BatchSubmission& submission : trace.batch_submissions) {
+    for (const std::string& prompt : submission.prompts) {
       ++items;
       tokens += answer_tokens(prompt);
       prompt_tokens += unshared_tokens(trace, prompt);
@@ -54,16 +54,17 @@
   double items = 0;
   double backlog_cost = 0;
   double backlog_items = 0;
-  for (size_t index = 0; index < trace.heaps.size(); ++index) {
-    const BatchHeap& heap = trace.heaps[index];
-    for (const std::string& prompt : heap.prompts) {
+  for (size_t index = 0; index < trace.batch_submissions.size(); ++index) {
+    const BatchSubmission& submission = trace.batch_submissions[index];
+    for (const std::string& prompt : submission.prompts) {
       backlog_cost +=
           answer_tokens(prompt) * per_token + unshared_tokens(trace, prompt) * per_prompt_token;
     }
-    backlog_items += static_cast<double>(heap.prompts.size());
-    const Duration next =
-        index + 1 < trace.heaps.size() ? trace.heaps[index + 1].send_at : trace.length;
-    const double capacity = microseconds(next - heap.send_at) * free_rate;
+    backlog_items += static_cast<double>(submission.prompts.size());
+    const Duration next = index + 1 < trace.batch_submissions.size()
+                              ? trace.batch_submissions[index + 1].send_at
+                              : trace.length;
+    const double capacity = microseconds(next - submission.send_at) * free_rate;
     const double done = std::min(1.0, capacity / backlog_cost);
     items += done * backlog_items;
     backlog_items *= 1 - done;
--- a/bench/virtual_engine_client.cc
+++ b/bench/virtual_engine_client.cc
@@ -5,7 +5,8 @@
 
 using Target = VirtualEngineClient::Target;
 
-// Receives the engine's events and sends them over the network to the stream, if it still lives.
+// Receives the engine's events and forwards them with network latency to the stream, if it still
+// exists.
 class RemoteSink : public GenerateCallbacks {
  public:
   RemoteSink(VirtualDispatcher& dispatcher, Duration one_way, GenerateCallbacks& receiver,
@@ -60,7 +61,7 @@
   ~VirtualStream() override {
     dispatcher_.schedule(target_.one_way,
                          [engine = target_.engine, sink = sink_, id = attempt_id_] {
-                           engine->cancel(id);  // the sink lives until here
+                           engine->cancel(id);  // keeps the sink alive until here
                          });
   }
   VirtualStream(const VirtualStream&) = delete;
--- a/bench/virtual_engine_client.h
+++ b/bench/virtual_engine_client.h
@@ -1,4 +1,4 @@
-// EngineClient of one node under virtual time: engine models behind a network with fixed one-way
+// EngineClient of one node in virtual time: engine models behind a network with fixed one-way
 // latencies.
 #pragma once
 
@@ -16,7 +16,7 @@
   struct Target {
     EngineModel* engine = nullptr;
     Duration one_way{0};
-    uint32_t worker = 0;  // its number
+    uint32_t worker = 0;  // index of the worker
   };
 
   explicit VirtualEngineClient(VirtualDispatcher& dispatcher) : dispatcher_(dispatcher) {}
--- a/bench/virtual_node.cc
+++ b/bench/virtual_node.cc
@@ -23,7 +23,7 @@
         client_latency_(client_latency),
         sent_at_(sent_at) {}
 
-  // @return whether a worker took it.
+  // @return whether the request was routed to a worker.
   bool start() {
     RouteRequest route;
     route.service = kServiceName;
@@ -82,7 +82,7 @@
     const MonotonicTime arrived = routed_at_ + target.one_way;
     EngineArrival arrival;
     arrival.worker = target.worker;
-    arrival.arrived_us = static_cast<double>((arrived - node_.record_.began).count());
+    arrival.arrived_us = static_cast<double>((arrived - node_.record_.trace_start).count());
     arrival.path_us =
         static_cast<double>((arrived - sent_at_ + target.one_way + client_latency_).count());
     arrival.first_token_us = static_cast<double>(first_token_.count());
@@ -116,7 +116,7 @@
     request.resumed_tokens = item_.tokens;
     slot_->set_on_revoked([this] {
       ++node_.record_.batch_revoked;
-      give_back();
+      requeue();
     });
     stream_ =
         node_.dependencies_.engine_client.generate(slot_->address(), std::move(request), *this);
@@ -140,11 +140,11 @@
   void on_error(const Error& error) override {
     slot_->report_failure(error);
     ++node_.record_.batch_failed;
-    give_back();
+    requeue();
   }
 
  private:
-  void give_back() {
+  void requeue() {
     node_.backlog_.push_front(std::move(item_));
     node_.end_batch(attempt_);
   }
@@ -171,7 +171,7 @@
       backlog_(backlog),
       record_(record) {
   router_.start();
-  router_.subscribe(lifetime_.guard([this] { pump(); }));
+  router_.subscribe(lifetime_.guard([this] { start_batch_items(); }));
 }
 
 VirtualNode::~VirtualNode() = default;
@@ -189,7 +189,7 @@
 void VirtualNode::arrive(const OnlineRequest& request, size_t number) {
   const uint64_t attempt = number;
   const MonotonicTime now = dependencies_.time_source.monotonic_now();
-  // The client's way to the node has passed; the way back is added to each latency.
+  // The latency from client to node has elapsed; the way back is added to each measured latency.
   const Duration client_latency = record_.client_latency;
   auto online =
       std::make_unique<Online>(*this, attempt, request, client_latency, now - client_latency);
@@ -200,7 +200,7 @@
   }
 }
 
-void VirtualNode::pump() {
+void VirtualNode::start_batch_items() {
   while (!backlog_.empty()) {
     const BatchItem& next = backlog_.front();
     const auto resumed = static_cast<uint32_t>(next.tokens.size());
@@ -219,7 +219,8 @@
   }
 }
 
-// Requests end from inside their own callbacks, so they are destroyed in a later turn.
+// Requests end inside their own callbacks, so they are destroyed in a later iteration of the event
+// loop.
 void VirtualNode::end_online(uint64_t attempt) {
   dependencies_.dispatcher.post(lifetime_.guard([this, attempt] { online_.erase(attempt); }));
 }
@@ -227,7 +228,7 @@
 void VirtualNode::end_batch(uint64_t attempt) {
   dependencies_.dispatcher.post(lifetime_.guard([this, attempt] {
     batch_.erase(attempt);
-    pump();
+    start_batch_items();
   }));
 }
 
--- a/bench/virtual_node.h
+++ b/bench/virtual_node.h
@@ -1,5 +1,5 @@
-// One node in a virtual run: the product's router and batch windows, with a thin driver that sends
-// online requests and batch items as the gateway and the batch runner do.
+// One node in a virtual run: the production router and batch windows, with a minimal driver that
+// sends online requests and batch items as the gateway and the batch runner do.
 #pragma once
 
 #include <deque>
@@ -19,13 +19,13 @@
 inline constexpr const char* kServiceName = "lm";
 inline constexpr const char* kModelName = "model";
 
-// A batch item that waits for a slot; keeps what earlier attempts generated.
+// A batch item that waits for a slot, with the tokens that earlier attempts generated.
 struct BatchItem {
   uint64_t number = 0;
   std::string prompt;
   std::vector<std::string> tokens;
 };
-// Items of all heaps, shared by the nodes.
+// Items of all submissions, shared by the nodes.
 using BatchBacklog = std::deque<BatchItem>;
 
 class VirtualNode {
@@ -38,8 +38,8 @@
 
   // An online request arrives at the node. `request` must outlive the run.
   void arrive(const OnlineRequest& request, size_t number);
-  // Starts batch items while windows are open.
-  void pump();
+  // Starts batch items while batch windows are open.
+  void start_batch_items();
 
  private:
   class Online;
@@ -53,7 +53,7 @@
   NodeDependencies dependencies_;
   const VirtualEngineClient& engines_;
   FixedMembership membership_;
-  SilentGossip gossip_;
+  NullGossip gossip_;
   FixedConfiguration configuration_;
   FixedPolicy policy_;
   RouterImpl router_;
--- a/bench/virtual_run.cc
+++ b/bench/virtual_run.cc
@@ -9,9 +9,10 @@
 namespace chalkshed::bench {
 namespace {
 
-// Time for the nodes to learn the workers before the trace begins.
+// Time for the nodes to discover the workers before the trace begins.
 constexpr Duration kWarmUp = std::chrono::seconds(2);
-// Time for online requests in flight at the trace's end; batch stops counting at its end.
+// Time for online requests in flight at the end of the trace; batch items that finish in it are not
+// counted.
 constexpr Duration kDrain = std::chrono::seconds(10);
 
 class VirtualRun {
@@ -27,7 +28,7 @@
         object_store_(platform_, dispatcher_),
         machine_list_(platform_, dispatcher_) {
     record_.client_latency = deployment.client_latency;
-    record_.began = clock_.monotonic_now() + kWarmUp;
+    record_.trace_start = clock_.monotonic_now() + kWarmUp;
     add_engines();
     add_nodes();
   }
@@ -124,17 +125,17 @@
     if (!settings_.batch) {
       return;
     }
-    for (const BatchHeap& heap : trace_.heaps) {
-      dispatcher_.schedule(heap.send_at, [this, &heap] { add_heap(heap); });
+    for (const BatchSubmission& submission : trace_.batch_submissions) {
+      dispatcher_.schedule(submission.send_at, [this, &submission] { add_submission(submission); });
     }
   }
 
-  void add_heap(const BatchHeap& heap) {
-    for (const std::string& prompt : heap.prompts) {
+  void add_submission(const BatchSubmission& submission) {
+    for (const std::string& prompt : submission.prompts) {
       backlog_.push_back(BatchItem{next_item_++, prompt, {}});
     }
     for (const std::unique_ptr<VirtualNode>& node : nodes_) {
-      node->pump();
+      node->start_batch_items();
     }
   }
 
--- a/bench/virtual_run.h
+++ b/bench/virtual_run.h
@@ -1,6 +1,6 @@
-// Replays a trace under virtual time on the router and batch windows alone, driven by a thin
-// stand-in for the rest of the node. It tells which engine served which request; see cluster_run.h
-// for whole nodes.
+// Replays a trace in virtual time on the router and batch windows only, with a minimal driver in
+// place of the rest of the node. Records which engine served which request; see cluster_run.h for
+// complete nodes.
 #pragma once
 
 #include "bench/run_record.h"
--- a/tests/bench/virtual_run_test.cc
+++ b/tests/bench/virtual_run_test.cc
@@ -53,7 +53,7 @@
   }
 }
 
-TEST_F(VirtualRunTest, WholeNodesServeEveryRequestTheSameWayTwice) {
+TEST_F(VirtualRunTest, ClusterRunIsDeterministicAndServesEveryRequest) {
   RunSettings settings;
   const RunRecord record = run_on_cluster(deployment_, trace_, settings);
   EXPECT_EQ(record.online_completed, trace_.online.size());
@@ -81,7 +81,7 @@
   EXPECT_GT(fill.items, 0);
 }
 
-TEST_F(VirtualRunTest, EveryArrivalNamesItsWorker) {
+TEST_F(VirtualRunTest, EveryArrivalRecordsItsWorker) {
   std::set<uint32_t> workers;
   for (const EngineArrival& arrival : run(false).arrivals) {
     workers.insert(arrival.worker);
