--- a/include/chalkshed/crash_evidence.h
+++ b/include/chalkshed/crash_evidence.h
@@ -101,8 +101,8 @@
     explicit crash_evidence(const crash_knobs &knobs = {});
 
     /** A run of this node begins, or is over, whatever its end. */
-    void note_begun(uint64_t digest, MonotonicTime now);
-    void note_over(uint64_t digest);
+    void note_started(uint64_t digest, MonotonicTime now);
+    void note_finished(uint64_t digest);
     /** A run that broke off, here or as a peer tells. \return Whether it was not known. */
     bool note_broken(const broken_run &run);
     /** Whether the run was alone in breaking off then has turned out otherwise: run.weak says how.
--- a/include/chalkshed/load_relay.h
+++ b/include/chalkshed/load_relay.h
@@ -115,7 +115,7 @@
      * it was called with an empty list. */
     void set_peers(std::vector<relay_candidate> peers);
     /** Forgets what relays said that are silent now; to be called a few times a second. */
-    void forget_silent();
+    void expire_silent();
 
     /** What this node knows of the store's tables, and what happens with what relays know. */
     void set_known_versions(
--- a/include/chalkshed/quarantine_rows.h
+++ b/include/chalkshed/quarantine_rows.h
@@ -75,7 +75,7 @@
         nodes_ = nodes;
     }
     /** \param removes Whether this node is the one that removes the row of that content. */
-    void set_removes(std::function<bool(uint64_t digest)> removes) {
+    void set_is_remover(std::function<bool(uint64_t digest)> removes) {
         removes_ = std::move(removes);
     }
 
--- a/include/chalkshed/request_quarantine.h
+++ b/include/chalkshed/request_quarantine.h
@@ -54,8 +54,8 @@
     std::function<bool(uint64_t digest, MonotonicTime not_before)> take =
         [](uint64_t, MonotonicTime) { return true; };
     std::function<void(uint64_t digest)> note_running = [](uint64_t) {};
-    std::function<void(uint64_t digest, MonotonicTime not_before)> note_over = [](uint64_t,
-                                                                                  MonotonicTime) {};
+    std::function<void(uint64_t digest, MonotonicTime not_before)> note_finished =
+        [](uint64_t, MonotonicTime) {};
 };
 
 class request_quarantine {
@@ -66,7 +66,7 @@
                        const quarantine_knobs &knobs = {});
 
     /** Whether a request of that content would be refused now. */
-    bool holds(uint64_t digest) const;
+    bool refuses(uint64_t digest) const;
     /** Asks for the right to run the content now; where the answer is to wait, other nodes are
      * asked, and on_permits_changed is called when to ask again. \param lost_worker See run_claim.
      */
@@ -78,7 +78,7 @@
 
     /** A run of this node begins. \return To be called once it is over, whatever its end; may be
      * called after this is gone, since runs are destroyed in a later turn of the loop. */
-    std::function<void()> note_begun(uint64_t digest);
+    std::function<void()> note_started(uint64_t digest);
     /** \param sent When the run was sent to the worker.
      * \param silent The worker's connection stood: most such workers are busy. */
     void note_broken(uint64_t digest, const ServingWorker &worker, MonotonicTime sent, bool silent);
@@ -122,7 +122,7 @@
         on_reviewed_ = std::move(callback);
     }
     /** \param tries Whether this node tries again a content that is held: one of all nodes. */
-    void set_tries(std::function<bool(uint64_t digest)> tries) {
+    void set_may_probe(std::function<bool(uint64_t digest)> tries) {
         tries_ = std::move(tries);
     }
     /** \param age How old this node's list of workers is, at most. */
--- a/include/chalkshed/run_turns.h
+++ b/include/chalkshed/run_turns.h
@@ -49,7 +49,7 @@
     /** Tells that runs of this node began before there was anything against the content. */
     void note_running(uint64_t digest);
     /** The last run of this node is over. \param not_before As above. */
-    void note_over(uint64_t digest, MonotonicTime not_before);
+    void note_finished(uint64_t digest, MonotonicTime not_before);
     /** \param not_before Until when, by what this node knows, nobody may run a content. */
     void set_not_before(std::function<MonotonicTime(uint64_t digest)> not_before) {
         not_before_ = std::move(not_before);
--- a/include/chalkshed/turn_keeper.h
+++ b/include/chalkshed/turn_keeper.h
@@ -37,7 +37,7 @@
     /** The node has runs of the content for which nobody had asked. */
     void note_running(uint64_t digest, const std::string &node, MonotonicTime now);
     /** The node's runs are over. \param not_before As above. */
-    void note_over(uint64_t digest, const std::string &node, MonotonicTime not_before);
+    void note_finished(uint64_t digest, const std::string &node, MonotonicTime not_before);
     size_t size() const {
         return contents_.size();
     }
--- a/include/chalkshed/turn_message.h
+++ b/include/chalkshed/turn_message.h
@@ -15,7 +15,7 @@
 
 namespace chalkshed {
 
-enum class turn_word {
+enum class turn_entry_type {
     kAsk,
     kGranted,
     /** Not yet: ask again. */
@@ -27,7 +27,7 @@
 };
 
 struct turn_entry {
-    turn_word word = turn_word::kAsk;
+    turn_entry_type word = turn_entry_type::kAsk;
     uint64_t digest = 0;
     /** Of kAsk and kOver: by what the sender knows nobody may run the content for so long. */
     Duration wait{0};
--- a/include/chalkshed/worker_outcomes.h
+++ b/include/chalkshed/worker_outcomes.h
@@ -20,7 +20,7 @@
     /** A worker that failed takes nothing for this long, doubled with each further failure in a
      * row, up to the longest. */
     Duration pause = std::chrono::milliseconds(250);
-    Duration longest_pause = std::chrono::seconds(4);
+    Duration max_backoff = std::chrono::seconds(4);
     /** For this long after a failure that no success has followed, a worker takes only work that
      * may be run again elsewhere. */
     Duration suspicion = std::chrono::seconds(8);
--- a/src/jobs/item_scheduler.cc
+++ b/src/jobs/item_scheduler.cc
@@ -54,7 +54,7 @@
 bool item_scheduler::may_run(const OwnedJob& job) const {
   const MonotonicTime now = environment_.serving.time_source.monotonic_now();
   const Duration age = std::min(environment_.view_age(), now - job.confirmed());
-  return age <= environment_.knobs.longest_view_age || !sessions_.others_may_reach_store();
+  return age <= environment_.knobs.max_view_age || !sessions_.others_may_reach_store();
 }
 
 bool item_scheduler::preempt_one(const OwnedJob::AtWorker& at) {
--- a/src/jobs/job_environment.h
+++ b/src/jobs/job_environment.h
@@ -3,7 +3,7 @@
 
 #include <functional>
 
-#include "src/jobs/item_pace.h"
+#include "src/jobs/item_duration.h"
 #include "src/jobs/job.h"
 #include "src/jobs/job_knobs.h"
 #include "src/platform/object_store.h"
--- a/src/jobs/job_knobs.h
+++ b/src/jobs/job_knobs.h
@@ -42,7 +42,7 @@
   // may know more: it may have been ended since, or taken over. The platform says how long after
   // the acknowledged end of a job an item may still begin at a worker, 3 s as a rule; connecting to
   // a worker and a full machine take the rest.
-  Duration longest_view_age = std::chrono::milliseconds(2000);
+  Duration max_view_age = std::chrono::milliseconds(2000);
   // The caller of an end waits this long at most until the owner has confirmed that it knows: some
   // round trips between nodes, and less than it notices.
   Duration longest_owner_notice = std::chrono::milliseconds(300);
@@ -75,7 +75,7 @@
   // One partition's rows of refusals are looked at this often, by one node of the fleet.
   Duration refusal_sweep_interval = std::chrono::minutes(1);
   // A planned stop lets items under way run on for this long.
-  Duration longest_drain = std::chrono::milliseconds(2600);
+  Duration max_drain_time = std::chrono::milliseconds(2600);
 };
 
 }  // namespace chalkshed
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -473,7 +473,7 @@
     const bool idle = !owned.job->has_running() && !owned.job->has_uncommitted();
     if (owned.job->finished()) {
       finished.push_back(id);
-    } else if ((idle || elapsed > environment_.knobs.longest_drain) &&
+    } else if ((idle || elapsed > environment_.knobs.max_drain_time) &&
                !std::exchange(owned.releasing, true)) {
       release(id);
     }
--- a/src/load_relay/load_relay.cc
+++ b/src/load_relay/load_relay.cc
@@ -149,7 +149,7 @@
     far_prompts_.clear();
 }
 
-void load_relay::forget_silent() {
+void load_relay::expire_silent() {
     const MonotonicTime now = time_source_.monotonic_now();
     if (!view_.session.empty() && now - view_.heard > knobs_.digest_lifetime) {
         logger_.write(LogLevel::kInfo, "relay_silent", {{"session", view_.session}});
--- a/src/node/serving_node.cc
+++ b/src/node/serving_node.cc
@@ -139,8 +139,8 @@
   worker_table_.set_on_missed([this](StoreVersion version) { worker_handover_.request(version); });
   // Many nodes that start at the same moment would else not hear each other until their
   // announcements have been gathered, for a second and a half.
-  peers_.set_on_unknown_session([this] { node_table_.hurry(); });
-  quota_exchange_.set_on_unknown_session([this] { node_table_.hurry(); });
+  peers_.set_on_unknown_session([this] { node_table_.poll_now(); });
+  quota_exchange_.set_on_unknown_session([this] { node_table_.poll_now(); });
   peers_.set_on_role_changed([this] { pace_watchers(); });
   // Their long questions may have been lost together with the short ones.
   route_table_.set_on_regained([this] { refresh_watchers(worker_table_); });
@@ -150,8 +150,8 @@
 // One of all nodes tries again what is held, and removes what is not held any more.
 void ServingNode::connect_quarantine() {
   const auto is_first = [this](uint64_t digest) { return peers_.rank(digest_text(digest)) == 0; };
-  quarantine_.set_tries(is_first);
-  quarantine_rows_.set_removes(is_first);
+  quarantine_.set_may_probe(is_first);
+  quarantine_rows_.set_is_remover(is_first);
   quarantine_.set_view_age([this] { return worker_table_.age(); });
   quarantine_.set_turns({[this](uint64_t digest, MonotonicTime not_before) {
                            return run_turns_.take(digest, not_before);
@@ -159,7 +159,7 @@
                          [this](uint64_t digest) { run_turns_.note_running(digest); },
                          // Requests in progress end with this node, after its turns.
                          lifetime_.guard([this](uint64_t digest, MonotonicTime not_before) {
-                           run_turns_.note_over(digest, not_before);
+                           run_turns_.note_finished(digest, not_before);
                          })});
   quarantine_.set_on_permits_changed([this] { place_soon(); });
   run_turns_.set_not_before(
@@ -213,22 +213,21 @@
   const WatchKnobs& watch = knobs_.watch;
   const bool member = peers_.is_relay_member();
   WatchPace configuration = member ? watch.member_configuration : watch.configuration;
-  if (knobs_.longest_unconfirmed) {
+  if (knobs_.max_unconfirmed_time) {
     // A lost question and its repetition fit into the time for which keys hold unconfirmed.
-    configuration.longest_wait =
-        std::min(configuration.longest_wait, *knobs_.longest_unconfirmed / 2);
+    configuration.max_wait = std::min(configuration.max_wait, *knobs_.max_unconfirmed_time / 2);
   }
   route_table_.set_pace(configuration);
   // A member that has just started hears a relay soon. If all nodes start, so do the workers: each
   // of their rows went from the store to each node, 3 GB for 1,000 nodes before 10,000 workers.
-  const bool starts =
-      member && dependencies_.time_source.monotonic_now() - started_ < watch.told_workers.gather;
+  const bool starts = member && dependencies_.time_source.monotonic_now() - started_ <
+                                    watch.told_workers.batch_delay;
   worker_table_.set_pace(peers_.hears_informed_relay() || starts ? watch.told_workers
                          : member                                ? watch.member_workers
                                                                  : watch.workers);
   node_table_.set_pace(peers_.relayed() ? watch.member_jobs : watch.jobs);
   pace_jobs();
-  peers_.set_store_wait(configuration.longest_wait - watch.configuration.longest_wait);
+  peers_.set_store_wait(configuration.max_wait - watch.configuration.max_wait);
 }
 
 void ServingNode::pace_jobs() {
@@ -237,9 +236,9 @@
   if (jobs_.owns_open_jobs()) {
     // A view is as old as its question: at most a pause and two questions that were held, together
     // nine tenths of the age at which an owner starts nothing; the rest is for the answer to come.
-    const Duration part = knobs_.jobs.longest_view_age * 3 / 10;
-    pace.longest_wait = std::min(pace.longest_wait, part);
-    pace.gather = std::min(pace.gather, part);
+    const Duration part = knobs_.jobs.max_view_age * 3 / 10;
+    pace.max_wait = std::min(pace.max_wait, part);
+    pace.batch_delay = std::min(pace.batch_delay, part);
   }
   job_table_.set_pace(pace);
 }
@@ -259,7 +258,7 @@
 
 void ServingNode::start() {
   started_ = dependencies_.time_source.monotonic_now();
-  call_after(dependencies_.dispatcher, knobs_.watch.told_workers.gather,
+  call_after(dependencies_.dispatcher, knobs_.watch.told_workers.batch_delay,
              lifetime_.guard([this] { pace_watchers(); }));
   route_table_.start();
   workers_copy_.start();
@@ -315,7 +314,7 @@
   const bool unconfigured = !route_watch_.current();
   const Duration draining =
       draining_ ? dependencies_.time_source.monotonic_now() - drain_began_ : Duration(0);
-  if (!unconfigured && draining < knobs_.least_drain) {
+  if (!unconfigured && draining < knobs_.min_drain_time) {
     return std::nullopt;
   }
   Error error = not_run(ErrorKind::kUnavailable,
@@ -333,7 +332,7 @@
 bool ServingNode::keys_unconfirmed() const {
   const Duration unconfirmed =
       dependencies_.time_source.monotonic_now() - route_table_.last_heard();
-  return knobs_.longest_unconfirmed && unconfirmed > *knobs_.longest_unconfirmed;
+  return knobs_.max_unconfirmed_time && unconfirmed > *knobs_.max_unconfirmed_time;
 }
 
 Expected<caller_identity> ServingNode::identify(const RouteTable& table, const Route* route,
@@ -381,10 +380,10 @@
 void ServingNode::check_drained() {
   const Duration elapsed = dependencies_.time_source.monotonic_now() - drain_began_;
   const bool idle = jobs_drained_ && gateway_.requests_in_progress() == 0;
-  if (elapsed >= knobs_.least_drain && jobs_drained_ && !std::exchange(withdrawn_, true)) {
+  if (elapsed >= knobs_.min_drain_time && jobs_drained_ && !std::exchange(withdrawn_, true)) {
     peers_.withdraw();
   }
-  if ((elapsed >= knobs_.least_drain && idle) || elapsed >= knobs_.longest_drain) {
+  if ((elapsed >= knobs_.min_drain_time && idle) || elapsed >= knobs_.max_drain_time) {
     dependencies_.logger.write(LogLevel::kInfo, "drain_ended",
                                {{"requests", std::to_string(gateway_.requests_in_progress())},
                                 {"jobs", std::to_string(jobs_.owned_jobs())}});
--- a/src/node/serving_node.h
+++ b/src/node/serving_node.h
@@ -56,25 +56,26 @@
 struct WatchKnobs {
   // The configuration is also how a node notices that it has lost the store: its question is never
   // held for longer than this.
-  WatchPace configuration{.longest_wait = std::chrono::milliseconds(1500)};
-  WatchPace workers{.longest_wait = std::chrono::milliseconds(1500)};
+  WatchPace configuration{.max_wait = std::chrono::milliseconds(1500)};
+  WatchPace workers{.max_wait = std::chrono::milliseconds(1500)};
   // Jobs and nodes change more often, and may be known a little later.
-  WatchPace jobs{.longest_wait = std::chrono::seconds(5), .gather = std::chrono::milliseconds(150)};
+  WatchPace jobs{.max_wait = std::chrono::seconds(5),
+                 .batch_delay = std::chrono::milliseconds(150)};
   // Contents that are held change seldom, and peers tell of them at once.
-  WatchPace quarantine{.longest_wait = std::chrono::seconds(30)};
+  WatchPace quarantine{.max_wait = std::chrono::seconds(30)};
   // While this node is one of many that learn from a relay what has changed: a lost question does
   // not go unnoticed for longer. A job that was ended must start nothing after three seconds.
-  WatchPace member_configuration{.longest_wait = std::chrono::seconds(3)};
+  WatchPace member_configuration{.max_wait = std::chrono::seconds(3)};
   // Some worker's row changes every second. A worker that leaves may get new work for two seconds.
-  WatchPace member_workers{.longest_wait = std::chrono::seconds(10),
-                           .gather = std::chrono::seconds(1)};
+  WatchPace member_workers{.max_wait = std::chrono::seconds(10),
+                           .batch_delay = std::chrono::seconds(1)};
   // While a relay tells of changes. Without it, or once it has lost the store, the pace above holds
   // again within two seconds.
-  WatchPace told_workers{.longest_wait = std::chrono::seconds(10),
-                         .gather = std::chrono::seconds(5),
+  WatchPace told_workers{.max_wait = std::chrono::seconds(10),
+                         .batch_delay = std::chrono::seconds(5),
                          .from_peers = true};
-  WatchPace member_jobs{.longest_wait = std::chrono::seconds(10),
-                        .gather = std::chrono::milliseconds(1500)};
+  WatchPace member_jobs{.max_wait = std::chrono::seconds(10),
+                        .batch_delay = std::chrono::milliseconds(1500)};
 };
 
 struct ServingNodeKnobs {
@@ -89,11 +90,11 @@
   first_copy_knobs workers_copy;
   // A node that the store has not answered for so long takes no keys, because one of them may have
   // been taken away; nothing: it goes on by what it knows.
-  std::optional<Duration> longest_unconfirmed;
+  std::optional<Duration> max_unconfirmed_time;
   // A planned stop serves on for this long, until callers are sent elsewhere.
-  Duration least_drain = std::chrono::milliseconds(2600);
+  Duration min_drain_time = std::chrono::milliseconds(2600);
   // It ends after this long whatever still runs: the process is killed soon after.
-  Duration longest_drain = std::chrono::milliseconds(7500);
+  Duration max_drain_time = std::chrono::milliseconds(7500);
 };
 
 class ServingNode {
--- a/src/outcomes/worker_outcomes.cc
+++ b/src/outcomes/worker_outcomes.cc
@@ -33,7 +33,7 @@
 Duration worker_outcomes::pause_after(uint32_t failures) const {
     constexpr uint32_t kMostDoublings = 4;
     const uint32_t doublings = std::min(failures - 1, kMostDoublings);
-    return std::min(knobs_.pause * (1U << doublings), knobs_.longest_pause);
+    return std::min(knobs_.pause * (1U << doublings), knobs_.max_backoff);
 }
 
 bool worker_outcomes::paused(MonotonicTime now) const {
--- a/src/peers/peer_exchange.cc
+++ b/src/peers/peer_exchange.cc
@@ -175,7 +175,7 @@
 }
 
 void PeerExchange::update_relays() {
-  relay_.forget_silent();
+  relay_.expire_silent();
   const MonotonicTime now = time_source_.monotonic_now();
   const auto gone = [&](const Peer& peer) {
     return now - std::max(peer.heard, peer.announced) > knobs_.gone_after;
--- a/src/quarantine/crash_evidence.cc
+++ b/src/quarantine/crash_evidence.cc
@@ -25,7 +25,7 @@
     return time;
 }
 
-void crash_evidence::note_begun(uint64_t digest, MonotonicTime now) {
+void crash_evidence::note_started(uint64_t digest, MonotonicTime now) {
     ++under_way_[digest];
     const auto found = contents_.find(digest);
     if (found != contents_.end() && held(found->second)) {
@@ -33,7 +33,7 @@
     }
 }
 
-void crash_evidence::note_over(uint64_t digest) {
+void crash_evidence::note_finished(uint64_t digest) {
     const auto found = under_way_.find(digest);
     if (found != under_way_.end() && --found->second == 0) {
         under_way_.erase(found);
--- a/src/quarantine/request_quarantine.cc
+++ b/src/quarantine/request_quarantine.cc
@@ -24,7 +24,7 @@
       suspected_timer_(dispatcher.create_timer([this] { tell_suspected(); })),
       claim_timer_(dispatcher.create_timer([this] { on_permits_changed_(); })) {}
 
-bool request_quarantine::holds(uint64_t digest) const {
+bool request_quarantine::refuses(uint64_t digest) const {
     const run_claim claim{.tries = tries(digest)};
     return evidence_.permit(digest, claim, time_source_.monotonic_now()) ==
            run_permit::kQuarantined;
@@ -71,16 +71,16 @@
     return error;
 }
 
-std::function<void()> request_quarantine::note_begun(uint64_t digest) {
+std::function<void()> request_quarantine::note_started(uint64_t digest) {
     const MonotonicTime now = time_source_.monotonic_now();
-    evidence_.note_begun(digest, now);
+    evidence_.note_started(digest, now);
     if (evidence_.needs_turn(digest, now)) {
         in_turn_.insert(digest);
     }
     return lifetime_.guard([this, digest] {
-        evidence_.note_over(digest);
+        evidence_.note_finished(digest);
         if (!evidence_.under_way(digest) && in_turn_.erase(digest) > 0) {
-            turns_.note_over(digest, evidence_.settled_at(digest));
+            turns_.note_finished(digest, evidence_.settled_at(digest));
         }
     });
 }
--- a/src/quarantine/run_turns.cc
+++ b/src/quarantine/run_turns.cc
@@ -70,7 +70,7 @@
     }
     if (asked.asked == MonotonicTime{} || now - asked.asked >= knobs_.ask_interval) {
         asked.asked = now;
-        tell(*keeper, {turn_word::kAsk, digest, std::max(not_before - now, Duration(0))});
+        tell(*keeper, {turn_entry_type::kAsk, digest, std::max(not_before - now, Duration(0))});
     }
     return false;
 }
@@ -90,19 +90,19 @@
 
 void run_turns::note_running(uint64_t digest) {
     if (const peer *keeper = keeper_of(digest)) {
-        tell(*keeper, {turn_word::kRunning, digest, Duration(0)});
+        tell(*keeper, {turn_entry_type::kRunning, digest, Duration(0)});
     } else {
         keeper_.note_running(digest, session_, time_source_.monotonic_now());
     }
 }
 
-void run_turns::note_over(uint64_t digest, MonotonicTime not_before) {
+void run_turns::note_finished(uint64_t digest, MonotonicTime not_before) {
     questions_.erase(digest);
     if (const peer *keeper = keeper_of(digest)) {
         const Duration wait = not_before - time_source_.monotonic_now();
-        tell(*keeper, {turn_word::kOver, digest, std::max(wait, Duration(0))});
+        tell(*keeper, {turn_entry_type::kOver, digest, std::max(wait, Duration(0))});
     } else {
-        keeper_.note_over(digest, session_, not_before);
+        keeper_.note_finished(digest, session_, not_before);
     }
 }
 
@@ -131,19 +131,20 @@
 void run_turns::take_entry(const peer &from, const turn_entry &entry) {
     const MonotonicTime now = time_source_.monotonic_now();
     switch (entry.word) {
-    case turn_word::kAsk: {
+    case turn_entry_type::kAsk: {
         const bool granted = keeper_.ask(entry.digest, from.session, not_before(entry, now), now);
-        tell(from, {granted ? turn_word::kGranted : turn_word::kBusy, entry.digest, Duration(0)});
+        tell(from, {granted ? turn_entry_type::kGranted : turn_entry_type::kBusy, entry.digest,
+                    Duration(0)});
         return;
     }
-    case turn_word::kRunning:
+    case turn_entry_type::kRunning:
         keeper_.note_running(entry.digest, from.session, now);
         return;
-    case turn_word::kOver:
-        keeper_.note_over(entry.digest, from.session, not_before(entry, now));
+    case turn_entry_type::kOver:
+        keeper_.note_finished(entry.digest, from.session, not_before(entry, now));
         return;
-    case turn_word::kGranted:
-    case turn_word::kBusy:
+    case turn_entry_type::kGranted:
+    case turn_entry_type::kBusy:
         take_answer(entry, now);
         return;
     }
@@ -155,7 +156,7 @@
         return; // its request has ended meanwhile; the turn lapses
     }
     found->second.answered = now;
-    if (entry.word == turn_word::kGranted) {
+    if (entry.word == turn_entry_type::kGranted) {
         found->second.granted = now;
         on_granted_();
     }
--- a/src/quarantine/turn_keeper.cc
+++ b/src/quarantine/turn_keeper.cc
@@ -43,7 +43,8 @@
     }
 }
 
-void turn_keeper::note_over(uint64_t digest, const std::string &node, MonotonicTime not_before) {
+void turn_keeper::note_finished(uint64_t digest, const std::string &node,
+                                MonotonicTime not_before) {
     const auto found = contents_.find(digest);
     if (found == contents_.end()) {
         return;
--- a/src/quarantine/turn_message.cc
+++ b/src/quarantine/turn_message.cc
@@ -10,20 +10,20 @@
 namespace {
 
 constexpr std::array kWords = {
-    std::pair{turn_word::kAsk, wire::TurnWord::kAsk},
-    std::pair{turn_word::kGranted, wire::TurnWord::kGranted},
-    std::pair{turn_word::kBusy, wire::TurnWord::kBusy},
-    std::pair{turn_word::kOver, wire::TurnWord::kOver},
-    std::pair{turn_word::kRunning, wire::TurnWord::kRunning},
+    std::pair{turn_entry_type::kAsk, wire::TurnWord::kAsk},
+    std::pair{turn_entry_type::kGranted, wire::TurnWord::kGranted},
+    std::pair{turn_entry_type::kBusy, wire::TurnWord::kBusy},
+    std::pair{turn_entry_type::kOver, wire::TurnWord::kOver},
+    std::pair{turn_entry_type::kRunning, wire::TurnWord::kRunning},
 };
 
-wire::TurnWord wire_word(turn_word word) {
+wire::TurnWord wire_word(turn_entry_type word) {
     const auto *const found = std::find_if(kWords.begin(), kWords.end(),
                                            [&](const auto &pair) { return pair.first == word; });
     return found == kWords.end() ? wire::TurnWord::kUnknown : found->second;
 }
 
-std::optional<turn_word> read_word(wire::TurnWord word) {
+std::optional<turn_entry_type> read_word(wire::TurnWord word) {
     const auto *const found = std::find_if(kWords.begin(), kWords.end(),
                                            [&](const auto &pair) { return pair.second == word; });
     return found == kWords.end() ? std::nullopt : std::optional(found->first);
--- a/src/serving/request_relay.cc
+++ b/src/serving/request_relay.cc
@@ -71,7 +71,7 @@
 }
 
 bool RequestRelay::end_if_quarantined() {
-  if (!environment_.quarantine.holds(request_.digest)) {
+  if (!environment_.quarantine.refuses(request_.digest)) {
     return false;
   }
   if (runs_ > 0) {
--- a/src/serving/worker_attempt.cc
+++ b/src/serving/worker_attempt.cc
@@ -28,7 +28,7 @@
       observer_(observer),
       sent_(time_source.monotonic_now()),
       last_activity_(sent_),
-      on_run_over_(quarantine.note_begun(request_.digest)) {
+      on_run_over_(quarantine.note_started(request_.digest)) {
   HttpCallOptions call_options;
   call_options.pool = options.pool;
   call_options.connect_timeout = options.connect_timeout;
--- a/src/serving/worker_set.cc
+++ b/src/serving/worker_set.cc
@@ -589,7 +589,7 @@
 
 void WorkerSet::note_replaced(ServingWorker& worker) {
   worker.replaced = true;
-  worker.avoided_until = time_source_.monotonic_now() + knobs_.outcomes.longest_pause;
+  worker.avoided_until = time_source_.monotonic_now() + knobs_.outcomes.max_backoff;
 }
 
 }  // namespace chalkshed
--- a/src/watch/table_watcher.cc
+++ b/src/watch/table_watcher.cc
@@ -127,7 +127,7 @@
   following_ = true;
   gathering_ = false;
   follow_asked_ = time_source_.monotonic_now();
-  const Duration wait = pace_.from_peers ? Duration(0) : pace_.longest_wait;
+  const Duration wait = pace_.from_peers ? Duration(0) : pace_.max_wait;
   store_.read_changes(table_, followed_, wait,
                       lifetime_.guard([this, asked](const Expected<TableChanges>& changes) {
                         if (asked == asked_) {
@@ -137,16 +137,16 @@
 }
 
 void TableWatcher::follow_later(bool changed) {
-  if (pace_.gather <= Duration(0) || (!changed && !pace_.from_peers)) {
+  if (pace_.batch_delay <= Duration(0) || (!changed && !pace_.from_peers)) {
     follow();
     return;
   }
   gathering_ = true;
   retry_action_ = [this] { follow(); };
-  retry_timer_->enable(pace_.gather);
+  retry_timer_->enable(pace_.batch_delay);
 }
 
-void TableWatcher::hurry() {
+void TableWatcher::poll_now() {
   // Between two questions of a node; the store answers within some 10 ms.
   constexpr Duration kLeastGather = std::chrono::milliseconds(100);
   if (gathering_ && time_source_.monotonic_now() - last_heard_ >= kLeastGather) {
--- a/src/watch/table_watcher.h
+++ b/src/watch/table_watcher.h
@@ -64,10 +64,10 @@
 struct WatchPace {
   // How long the store may hold the answer back when nothing changes. Bounds how long a lost
   // connection goes unnoticed where no other sign tells of it.
-  Duration longest_wait = std::chrono::milliseconds(1500);
+  Duration max_wait = std::chrono::milliseconds(1500);
   // After changes have come, the next are asked for this much later, so that they come together.
   // Every change of a table goes to every node: a change each would cost a call of each node.
-  Duration gather{0};
+  Duration batch_delay{0};
   // Peers tell of changes and hand them over. The store is only asked each `gather` whether there
   // is anything else: mostly it sends no row.
   bool from_peers = false;
@@ -107,7 +107,7 @@
   void refresh();
   void set_pace(const WatchPace& pace);
   // There is something new that is needed now: does not gather further changes.
-  void hurry();
+  void poll_now();
   // Another node knows a row of the table in this version. If it does not arrive here too, the
   // answer that this node waits for is lost: it asks again.
   void note_newer(StoreVersion version);
--- a/tests/compatibility/datagrams_test.cc
+++ b/tests/compatibility/datagrams_test.cc
@@ -143,7 +143,7 @@
 }
 
 TEST(ProductionReaders, TakeAMessageAboutTurnsForNothingTheyKnow) {
-  const std::string bytes = encode_turn_message({"n1#3", {{turn_word::kAsk, 77, {}}}});
+  const std::string bytes = encode_turn_message({"n1#3", {{turn_entry_type::kAsk, 77, {}}}});
   flatbuffers::Verifier of_crash = verifier_of(bytes);
   flatbuffers::Verifier of_heartbeat = verifier_of(bytes);
   flatbuffers::Verifier of_digest = verifier_of(bytes);
--- a/tests/jobs/cluster_troubles.h
+++ b/tests/jobs/cluster_faults.h
@@ -22,7 +22,7 @@
   kStoreDown,
   kLoseAnswers,
   kApplyLate,
-  kStoreSound,
+  kStoreHealthy,
   kPlannedStop,
   kLast,  // of those that disturb; what follows is up to the test, or disturbs too
   kStoreSlow = kLast,
@@ -33,7 +33,7 @@
 };
 
 struct Step {
-  Event event = Event::kStoreSound;
+  Event event = Event::kStoreHealthy;
   size_t node = 0;
   Duration then{0};
 };
@@ -55,10 +55,10 @@
       rc::gen::inRange(1, 1500));
 }
 
-class ClusterTroubles {
+class ClusterFaults {
  public:
   // @param restart_after between the end of a planned stop and the next start.
-  ClusterTroubles(ServingCluster& cluster, Duration restart_after)
+  ClusterFaults(ServingCluster& cluster, Duration restart_after)
       : cluster_(cluster), restart_after_(restart_after) {}
 
   // How often a node was lost.
@@ -121,7 +121,7 @@
         trouble.lose_commits = true;
         trouble.late_commits = seconds(3);
         break;
-      case Event::kStoreSound:
+      case Event::kStoreHealthy:
         trouble = StoreTrouble();
         break;
       case Event::kStoreSlow:
--- a/tests/jobs/ended_job_property_test.cc
+++ b/tests/jobs/ended_job_property_test.cc
@@ -6,7 +6,7 @@
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
 
-#include "tests/jobs/cluster_troubles.h"
+#include "tests/jobs/cluster_faults.h"
 #include "tests/jobs/ended_job_fixture.h"
 
 namespace chalkshed {
@@ -99,7 +99,7 @@
   }
 
   ServingCluster cluster_{kNodes, 2};
-  ClusterTroubles troubles_{cluster_, kStep};
+  ClusterFaults troubles_{cluster_, kStep};
   std::vector<SendEnd> sends_;
   std::optional<MonotonicTime> ended_;
   bool began_ = false;
--- a/tests/jobs/retry_budget_property_test.cc
+++ b/tests/jobs/retry_budget_property_test.cc
@@ -7,7 +7,7 @@
 #include <rapidcheck/gtest.h>
 
 #include "src/jobs/job_rows.h"
-#include "tests/jobs/cluster_troubles.h"
+#include "tests/jobs/cluster_faults.h"
 
 namespace chalkshed {
 namespace {
@@ -127,7 +127,7 @@
   }
 
   ServingCluster cluster_{kNodes, 4};
-  ClusterTroubles troubles_{cluster_, kStep};
+  ClusterFaults troubles_{cluster_, kStep};
   std::map<std::string, size_t> answered_;  // failing answers that a node took, by item
   std::set<std::string> run_too_often_;     // item and session, once the item was used up
 };
--- a/tests/jobs/stale_view_test.cc
+++ b/tests/jobs/stale_view_test.cc
@@ -143,7 +143,7 @@
 TEST_F(StaleViewTest, AnItemThatWaitedStartsSoonAlsoWhereEndsAreToActSooner) {
   ServingCluster cluster(0, 1);
   ServingNodeKnobs knobs;
-  knobs.jobs.longest_view_age = milliseconds(500);  // bounds.cancel_ms=1500 or less
+  knobs.jobs.max_view_age = milliseconds(500);  // bounds.cancel_ms=1500 or less
   cluster.nodes["n0"] = std::make_unique<ClusterNode>(cluster.clock, cluster.shared,
                                                       cluster.workers, cluster.hub, "n0", 1, knobs);
   cluster.start_node("n1");
--- a/tests/node/key_age_test.cc
+++ b/tests/node/key_age_test.cc
@@ -18,7 +18,7 @@
   };
   with_keys(2, {"k1", "k2"});
   ServingNodeKnobs knobs;
-  knobs.longest_unconfirmed = seconds(4);
+  knobs.max_unconfirmed_time = seconds(4);
   ChangesBlockedNode node(cluster, "n8", knobs);
   cluster.clock.run_for(seconds(1));
   const auto allowed = [&](const std::string& key) {
--- a/tests/quarantine/crash_evidence_test.cc
+++ b/tests/quarantine/crash_evidence_test.cc
@@ -83,9 +83,9 @@
 TEST(CrashEvidence, LetsOneRunOfASuspectBeginAtATime) {
     crash_evidence evidence;
     break_off(evidence, 1);
-    evidence.note_begun(kContent, at(seconds(2)));
+    evidence.note_started(kContent, at(seconds(2)));
     EXPECT_EQ(evidence.permit(kContent, {}, at(seconds(2))), run_permit::kWait);
-    evidence.note_over(kContent);
+    evidence.note_finished(kContent);
     EXPECT_EQ(evidence.permit(kContent, {}, at(seconds(2))), run_permit::kAlone);
 }
 
@@ -152,9 +152,9 @@
               run_permit::kQuarantined);
     EXPECT_EQ(evidence.permit(kContent, {.tries = true}, first), run_permit::kAlone);
     // The trial ends a worker too.
-    evidence.note_begun(kContent, first);
+    evidence.note_started(kContent, first);
     evidence.note_broken({kContent, 4, first + milliseconds(60), false});
-    evidence.note_over(kContent);
+    evidence.note_finished(kContent);
     EXPECT_EQ(evidence.next_trial(kContent),
               first + milliseconds(60) + knobs.trial_growth * knobs.first_trial);
 }
@@ -173,8 +173,8 @@
     crash_evidence evidence(knobs);
     break_off(evidence, 3);
     const MonotonicTime first = evidence.next_trial(kContent);
-    evidence.note_begun(kContent, first); // its caller leaves
-    evidence.note_over(kContent);
+    evidence.note_started(kContent, first); // its caller leaves
+    evidence.note_finished(kContent);
     EXPECT_EQ(evidence.next_trial(kContent), first + knobs.first_trial);
 }
 
--- a/tests/quarantine/ending_fleet.h
+++ b/tests/quarantine/crashing_fleet.h
@@ -1,5 +1,5 @@
-#ifndef CHALKSHED_TESTS_QUARANTINE_ENDING_FLEET_H
-#define CHALKSHED_TESTS_QUARANTINE_ENDING_FLEET_H
+#ifndef CHALKSHED_TESTS_QUARANTINE_CRASHING_FLEET_H
+#define CHALKSHED_TESTS_QUARANTINE_CRASHING_FLEET_H
 
 /** \file
  * Nodes before workers that end in the midst of their runs: each worker that begins one of the
--- a/tests/quarantine/many_copies_test.cc
+++ b/tests/quarantine/many_copies_test.cc
@@ -22,7 +22,7 @@
 
 #include <algorithm>
 
-#include "tests/quarantine/ending_fleet.h"
+#include "tests/quarantine/crashing_fleet.h"
 
 namespace chalkshed {
 namespace {
--- a/tests/quarantine/quarantine_api_test.cc
+++ b/tests/quarantine/quarantine_api_test.cc
@@ -5,7 +5,7 @@
 
 #include "chalkshed/quarantine_api.h"
 #include "chalkshed/quarantine_rows.h"
-#include "tests/quarantine/ending_fleet.h"
+#include "tests/quarantine/crashing_fleet.h"
 
 namespace chalkshed {
 namespace {
--- a/tests/quarantine/quarantine_property_test.cc
+++ b/tests/quarantine/quarantine_property_test.cc
@@ -5,8 +5,8 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "tests/jobs/cluster_troubles.h"
-#include "tests/quarantine/ending_fleet.h"
+#include "tests/jobs/cluster_faults.h"
+#include "tests/quarantine/crashing_fleet.h"
 
 namespace chalkshed {
 namespace {
@@ -76,7 +76,7 @@
             break;
         default:
             store_disturbed_ = now();
-            store_out_ = step.event != Event::kStoreSound;
+            store_out_ = step.event != Event::kStoreHealthy;
             break;
         }
         troubles_.take(step);
@@ -120,7 +120,7 @@
     }
 
     ending_fleet fleet_;
-    ClusterTroubles troubles_;
+    ClusterFaults troubles_;
     std::map<size_t, MonotonicTime> disturbed_;
     std::map<size_t, bool> out_;
     MonotonicTime store_disturbed_{};
--- a/tests/quarantine/run_turns_test.cc
+++ b/tests/quarantine/run_turns_test.cc
@@ -74,7 +74,7 @@
     turn_fleet fleet(20);
     const std::vector<std::string> first = fleet.ask_all(milliseconds(30));
     ASSERT_EQ(first.size(), 1U);
-    fleet.nodes[first.front()]->note_over(kContent, fleet.clock.monotonic_now());
+    fleet.nodes[first.front()]->note_finished(kContent, fleet.clock.monotonic_now());
     fleet.clock.run_for(milliseconds(2));
     EXPECT_EQ(fleet.ask_all(milliseconds(30)).size(), 1U);
 }
@@ -89,7 +89,7 @@
     turn_fleet fleet(5);
     fleet.nodes["n3"]->note_running(kContent);
     fleet.clock.run_for(milliseconds(2));
-    fleet.nodes["n3"]->note_over(kContent + 1, {});
+    fleet.nodes["n3"]->note_finished(kContent + 1, {});
     const std::vector<std::string> may = fleet.ask_all(milliseconds(100));
     EXPECT_TRUE(may.empty() || may == std::vector<std::string>{"n3"});
 }
@@ -107,7 +107,8 @@
 
 TEST(RunTurns, OtherBytesAndWordsOfNewerBuildsHarmNothing) {
     turn_fleet fleet(2);
-    const std::string whole = encode_turn_message({"n1#1", {{turn_word::kAsk, kContent, {}}}});
+    const std::string whole =
+        encode_turn_message({"n1#1", {{turn_entry_type::kAsk, kContent, {}}}});
     constexpr size_t kMostPadding = 3;
     for (size_t length = 0; length + kMostPadding < whole.size(); ++length) {
         EXPECT_FALSE(decode_turn_message(whole.substr(0, length)));
@@ -124,14 +125,14 @@
         {reinterpret_cast<const char *>(builder.GetBufferPointer()), builder.GetSize()});
     ASSERT_TRUE(read);
     ASSERT_EQ(read->entries.size(), 1U);
-    EXPECT_EQ(read->entries.front().word, turn_word::kBusy);
+    EXPECT_EQ(read->entries.front().word, turn_entry_type::kBusy);
     EXPECT_EQ(read->entries.front().wait, milliseconds(7));
 }
 
 TEST(RunTurns, ASessionThatIsNotKnownGetsNoTurn) {
     turn_fleet fleet(2);
     fleet.nodes["n0"]->receive(
-        encode_turn_message({"n1#2", {{turn_word::kRunning, kContent, {}}}}));
+        encode_turn_message({"n1#2", {{turn_entry_type::kRunning, kContent, {}}}}));
     EXPECT_EQ(fleet.ask_all(milliseconds(100)).size(), 1U);
 }
 
--- a/tests/quarantine/shared_evidence_test.cc
+++ b/tests/quarantine/shared_evidence_test.cc
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "chalkshed/quarantine_rows.h"
-#include "tests/quarantine/ending_fleet.h"
+#include "tests/quarantine/crashing_fleet.h"
 
 namespace chalkshed {
 namespace {
--- a/tests/quarantine/turn_keeper_test.cc
+++ b/tests/quarantine/turn_keeper_test.cc
@@ -23,7 +23,7 @@
     turn_keeper keeper;
     EXPECT_TRUE(keeper.ask(kContent, "a", kStart, kStart));
     EXPECT_FALSE(keeper.ask(kContent, "b", kStart, at(milliseconds(10))));
-    keeper.note_over(kContent, "a", kStart);
+    keeper.note_finished(kContent, "a", kStart);
     EXPECT_TRUE(keeper.ask(kContent, "b", kStart, at(milliseconds(20))));
     EXPECT_FALSE(keeper.ask(kContent, "a", kStart, at(milliseconds(30))));
 }
@@ -49,7 +49,7 @@
     EXPECT_TRUE(keeper.ask(kContent, "b", kStart, settled));
     // Its run ends a worker.
     const MonotonicTime later = at(milliseconds(140));
-    keeper.note_over(kContent, "b", later);
+    keeper.note_finished(kContent, "b", later);
     EXPECT_FALSE(keeper.ask(kContent, "a", settled, at(milliseconds(101))));
     EXPECT_TRUE(keeper.ask(kContent, "a", settled, later));
 }
@@ -61,7 +61,7 @@
     EXPECT_FALSE(keeper.ask(kContent, "b", kStart, at(knobs.longest_turn)));
     EXPECT_TRUE(keeper.ask(kContent, "b", kStart, at(knobs.longest_turn + milliseconds(1))));
     // Told late, it ends no turn of another.
-    keeper.note_over(kContent, "a", kStart);
+    keeper.note_finished(kContent, "a", kStart);
     EXPECT_FALSE(keeper.ask(kContent, "c", kStart, at(knobs.longest_turn + milliseconds(2))));
 }
 
@@ -70,9 +70,9 @@
     keeper.note_running(kContent, "a", kStart);
     keeper.note_running(kContent, "b", kStart);
     EXPECT_FALSE(keeper.ask(kContent, "c", kStart, at(milliseconds(10))));
-    keeper.note_over(kContent, "a", kStart);
+    keeper.note_finished(kContent, "a", kStart);
     EXPECT_FALSE(keeper.ask(kContent, "c", kStart, at(milliseconds(20))));
-    keeper.note_over(kContent, "b", kStart);
+    keeper.note_finished(kContent, "b", kStart);
     EXPECT_TRUE(keeper.ask(kContent, "c", kStart, at(milliseconds(30))));
 }
 
--- a/tests/quarantine/worker_ends_test.cc
+++ b/tests/quarantine/worker_crashes_test.cc
@@ -15,7 +15,7 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/quarantine/ending_fleet.h"
+#include "tests/quarantine/crashing_fleet.h"
 
 namespace chalkshed {
 namespace {
--- a/tests/watch/table_watcher_test.cc
+++ b/tests/watch/table_watcher_test.cc
@@ -79,7 +79,7 @@
 
 TEST_F(TableWatcherTest, ChangesThatComeCloseTogetherCostOneCall) {
   TableWatcherKnobs knobs;
-  knobs.pace.gather = milliseconds(150);
+  knobs.pace.batch_delay = milliseconds(150);
   TableWatcher gathering{clock, dispatcher, store, logger, "t", {""}, observer, knobs};
   gathering.start();
   clock.run_for(milliseconds(50));
@@ -95,7 +95,7 @@
 
 TEST_F(TableWatcherTest, AnAnswerThatWasLostIsAskedForAnew) {
   TableWatcherKnobs knobs;
-  knobs.pace.longest_wait = seconds(60);
+  knobs.pace.max_wait = seconds(60);
   TableWatcher patient{clock, dispatcher, store, logger, "t", {""}, observer, knobs};
   patient.start();
   clock.run_for(milliseconds(50));
@@ -113,7 +113,7 @@
 // Other nodes know a row that has not arrived here: the answer that would bring it is lost.
 TEST_F(TableWatcherTest, AChangeThatOthersKnowIsAskedForAnew) {
   TableWatcherKnobs knobs;
-  knobs.pace.longest_wait = seconds(60);
+  knobs.pace.max_wait = seconds(60);
   TableWatcher patient{clock, dispatcher, store, logger, "t", {""}, observer, knobs};
   patient.start();
   clock.run_for(milliseconds(50));
@@ -209,7 +209,7 @@
 }
 
 TEST_F(TableWatcherTest, AWatcherThatGathersChangesCanBeHurried) {
-  watcher.set_pace({.longest_wait = seconds(10), .gather = milliseconds(1500)});
+  watcher.set_pace({.max_wait = seconds(10), .batch_delay = milliseconds(1500)});
   watcher.start();
   clock.run_for(milliseconds(50));
   put("a", "1");
@@ -217,12 +217,12 @@
   put("b", "1");
   clock.run_for(milliseconds(200));
   EXPECT_FALSE(observer.values.contains("b"));
-  watcher.hurry();
+  watcher.poll_now();
   clock.run_for(milliseconds(20));
   EXPECT_TRUE(observer.values.contains("b"));
   const uint64_t calls = shared.calls;
   for (int count = 0; count < 10; ++count) {
-    watcher.hurry();
+    watcher.poll_now();
   }
   clock.run_for(milliseconds(50));
   EXPECT_EQ(shared.calls, calls) << "nothing is asked while nothing is gathered";
--- a/tests/watch/view_age_test.cc
+++ b/tests/watch/view_age_test.cc
@@ -96,7 +96,7 @@
 
 // The pace of an owner: three tenths of the allowed age for the pause, and for each held question.
 TEST_F(ViewAgeTest, AnOwnersPaceKeepsItsViewWithinTwoSeconds) {
-  watcher.set_pace({.longest_wait = milliseconds(600), .gather = milliseconds(600)});
+  watcher.set_pace({.max_wait = milliseconds(600), .batch_delay = milliseconds(600)});
   watcher.start();
   clock.run_for(milliseconds(500));
   StoreTransaction transaction;
