--- a/include/chalkshed/crash_evidence.h
+++ b/include/chalkshed/crash_evidence.h
@@ -41,9 +41,9 @@
      * multiplies the delay by probe_backoff_factor. */
     Duration first_probe_delay = std::chrono::seconds(15);
     int64_t probe_backoff_factor = 8;
-    /** The store tells the fate of a worker within this time: its entry is removed after three
-     * missed heartbeats, 3.6 s at the slowest heartbeat in use, and all nodes know a second later.
-     */
+    /** The store's worker list shows within this time whether a worker has crashed: its entry is
+     * removed after three missed heartbeats, 3.6 s at the slowest heartbeat in use, and all nodes
+     * see this a second later. */
     Duration fate_known_after = std::chrono::seconds(10);
     /** Maximum number of tracked contents. Beyond it, those with the least evidence are evicted
      * first. */
@@ -172,7 +172,8 @@
     const content *find(uint64_t digest) const;
     static size_t crashes_of(const content &known);
     static MonotonicTime newest_crash(const content &known);
-    /** Crashes so long after the content was quarantined that only probes can have caused them. */
+    /** Number of crashes so long after the content was quarantined that only probes can have caused
+     * them. */
     size_t failed_probes(const content &known) const;
     Duration probe_delay(size_t failed) const;
     void evict_if_full();
--- a/include/chalkshed/crash_exchange.h
+++ b/include/chalkshed/crash_exchange.h
@@ -3,9 +3,9 @@
 
 /** \file
  * Reports to the other nodes, by datagram, which runs of this node were lost and which contents
- * were answered since. A single node sees few of the workers that a content crashes, because its
- * caller retries at any node. Each report is repeated a few times against packet loss; the durable
- * copy is in the store (quarantine_rows.h). */
+ * have since brought a complete answer. A single node sees few of the workers that a content
+ * crashes, because its caller retries at any node. Each report is repeated a few times against
+ * packet loss; the durable copy is in the store (quarantine_rows.h). */
 
 #include <deque>
 #include <string_view>
--- a/include/chalkshed/first_copy.h
+++ b/include/chalkshed/first_copy.h
@@ -7,7 +7,7 @@
  * If every node read a table of 10,000 rows from the store, a thousand nodes that start together
  * would transfer 2.3 GB in 20,000 calls. A table that one call lists is read from the store by all
  * nodes. In a large fleet, a larger table is read from the store only by the relays of each zone;
- * the other nodes ask nodes of their own zone, which send a copy or refuse at once. A copy names
+ * the other nodes ask nodes of their own zone, which send a copy or refuse at once. A copy contains
  * the version up to which it is complete, and the node follows the store's changes from there, so
  * the peer need not be up to date. A node that gets no copy reads the store itself. */
 
--- a/include/chalkshed/request_quarantine.h
+++ b/include/chalkshed/request_quarantine.h
@@ -44,7 +44,7 @@
     /** Runs that a cut link or a reset interrupts are lost within this time; a run that is the only
      * one lost until then is reported as suspected. */
     Duration suspicion_delay = std::chrono::milliseconds(1);
-    /** Interval at which waiting requests ask for their permit again. */
+    /** Interval at which waiting requests check their permit again. */
     Duration claim_retry_interval = std::chrono::milliseconds(5);
 };
 
@@ -68,8 +68,8 @@
     /** Whether a request with that content would be refused now. */
     bool refuses(uint64_t digest) const;
     /** Requests permission to run the content. If the result is kWait, other nodes have been asked
-     * for a turn where one is needed, and on_permits_changed is called when to ask again. \param
-     * lost_worker See run_claim. */
+     * for a turn where one is needed, and on_permits_changed is called once the request may be
+     * repeated. \param lost_worker See run_claim. */
     run_permit claim_run(uint64_t digest, bool lost_worker);
     /** The permit for work that only this node runs, which needs no turn from another node. */
     run_permit permit_owned(uint64_t digest) const;
@@ -124,7 +124,7 @@
     void set_on_reviewed(std::function<void()> callback) {
         on_reviewed_ = std::move(callback);
     }
-    /** \param tries Whether this node is the one that probes that quarantined content. */
+    /** \param may_probe Whether this node is the one that probes that quarantined content. */
     void set_may_probe(std::function<bool(uint64_t digest)> may_probe) {
         may_probe_ = std::move(may_probe);
     }
--- a/include/chalkshed/run_turns.h
+++ b/include/chalkshed/run_turns.h
@@ -79,7 +79,7 @@
     /** Whether the request has timed out, so that this node grants itself the turn. */
     bool timed_out(uint64_t digest, turn_request &asked, MonotonicTime now);
     void send_entry(const peer &to, const turn_entry &entry);
-    /** The later of what this node and the peer know. */
+    /** The later of the times known to this node and to the peer. */
     MonotonicTime not_before(const turn_entry &entry, MonotonicTime now) const;
     void handle_entry(const peer &from, const turn_entry &entry);
     void handle_answer(const turn_entry &entry, MonotonicTime now);
--- a/include/chalkshed/turn_message.h
+++ b/include/chalkshed/turn_message.h
@@ -18,7 +18,7 @@
 enum class turn_entry_type {
     kAsk,
     kGranted,
-    /** Not yet: the sender has to ask again. */
+    /** No turn yet: the requester has to repeat its request. */
     kBusy,
     /** The sender's run has finished. */
     kOver,
--- a/src/jobs/item_scheduler.cc
+++ b/src/jobs/item_scheduler.cc
@@ -53,7 +53,7 @@
 }
 
 // The node that writes the end of a job acknowledges it, even if the owner has not been notified.
-// While the store answers no node, no node can acknowledge an end, so batch items may still start.
+// While the store answers no node, no end can be acknowledged, so batch items may still start.
 bool item_scheduler::may_run(const OwnedJob& job) const {
   const MonotonicTime now = environment_.serving.time_source.monotonic_now();
   const Duration age = std::min(environment_.view_age(), now - job.confirmed());
--- a/src/jobs/job_ender.cc
+++ b/src/jobs/job_ender.cc
@@ -71,8 +71,8 @@
 }
 
 // The caller may not know whether its job was accepted, and a write of the job may still be in
-// flight or be applied late. Acceptances are conditional on the refusal row, so that none sent
-// before this write succeeds.
+// flight or be applied late. Every acceptance is conditional on the refusal row, so that one sent
+// before this write cannot succeed after it.
 void job_ender::write_refusal(const end_request_ptr& request) {
   ++request->tries;
   StoreTransaction transaction;
--- a/src/jobs/job_rows.h
+++ b/src/jobs/job_rows.h
@@ -33,9 +33,9 @@
 RangeRead job_progress_range(const std::string& job);
 StoredRowKey job_failure_key(const std::string& job, const std::string& item);
 RangeRead job_failure_range(const std::string& job);
-// Records that a job was refused because of its queue limit; key: job id, value: time of the
-// refusal by the store's clock. Every acceptance is conditional on this row, so that a write that
-// was sent before the refusal and is applied late has no effect.
+// Records that a job was refused because of its queue limit, or ended before it was stored; key:
+// job id, value: time of the refusal or end by the store's clock. Every acceptance is conditional
+// on this row, so that a write that was sent earlier and is applied late has no effect.
 inline constexpr const char* kStoredRefusalTable = "job_refusal";
 StoredRowKey job_refusal_key(const std::string& job);
 std::string encode_job_refusal(Duration now);
--- a/src/node/serving_node.cc
+++ b/src/node/serving_node.cc
@@ -147,8 +147,7 @@
   worker_table_.set_on_regained([this] { refresh_watchers(route_table_); });
 }
 
-// For each content, a single node retries it while it is quarantined and removes its row
-// afterwards.
+// For each content, a single node probes it while it is quarantined and removes its row afterwards.
 void ServingNode::connect_quarantine() {
   const auto is_first = [this](uint64_t digest) { return peers_.rank(digest_text(digest)) == 0; };
   quarantine_.set_may_probe(is_first);
@@ -220,9 +219,9 @@
     configuration.max_wait = std::min(configuration.max_wait, *knobs_.max_unconfirmed_time / 2);
   }
   route_table_.set_pace(configuration);
-  // A member that has just started will receive a relay's digest soon. If all nodes start together,
-  // the workers do as well, and each of their rows was sent from the store to each node: 3 GB for
-  // 1,000 nodes and 10,000 workers.
+  // A member that has just started will receive a relay's digest soon, so it uses the pace of
+  // relayed workers at once. Otherwise, when all nodes and workers start together, the store would
+  // send the row of each worker to each node: 3 GB for 1,000 nodes and 10,000 workers.
   const bool starts = member && dependencies_.time_source.monotonic_now() - started_ <
                                     watch.relayed_workers.batch_delay;
   worker_table_.set_pace(peers_.hears_informed_relay() || starts ? watch.relayed_workers
@@ -254,7 +253,8 @@
   quarantine_table_.refresh();
 }
 
-// Requests that end during destruction free their slots, and nothing may be placed into them.
+// Requests that end during destruction free their slots, which must not be assigned to other
+// requests any more.
 ServingNode::~ServingNode() {
   workers_.set_on_slot_freed(nullptr);
   workers_.set_on_load_changed(nullptr);
@@ -273,8 +273,8 @@
   jobs_.start();
 }
 
-// Slots are freed in the middle of other work, so waiting requests are placed in a later turn of
-// the event loop: online requests first, then job items.
+// A slot may be freed in the middle of other work. Waiting requests are therefore dispatched in a
+// later iteration of the event loop: online requests first, then job items.
 void ServingNode::schedule_placement() {
   if (std::exchange(placement_scheduled_, true)) {
     return;
--- a/src/node/serving_node.h
+++ b/src/node/serving_node.h
@@ -61,15 +61,15 @@
   // Jobs and nodes change more often, and their changes may arrive a little later.
   WatchPace jobs{.max_wait = std::chrono::seconds(5),
                  .batch_delay = std::chrono::milliseconds(150)};
-  // Quarantined contents change rarely, and peers announce them at once.
+  // Quarantined contents change rarely, and peers report them at once.
   WatchPace quarantine{.max_wait = std::chrono::seconds(30)};
   // While this node is one of many that learn of changes from a relay: bounds the time for which a
-  // lost poll goes unnoticed. A job that was ended must start no items after three seconds.
+  // lost poll goes unnoticed. Three seconds after a job was ended, no more of its items may start.
   WatchPace member_configuration{.max_wait = std::chrono::seconds(3)};
   // Some worker's row changes every second. A leaving worker may get new work for two seconds.
   WatchPace member_workers{.max_wait = std::chrono::seconds(10),
                            .batch_delay = std::chrono::seconds(1)};
-  // While a relay announces changes. Without a relay, or once the relay has lost the store, the
+  // While a relay reports changes. Without a relay, or once the relay has lost the store, the
   // pace above applies again within two seconds.
   WatchPace relayed_workers{.max_wait = std::chrono::seconds(10),
                             .batch_delay = std::chrono::seconds(5),
--- a/src/once/claim_knobs.h
+++ b/src/once/claim_knobs.h
@@ -23,7 +23,8 @@
 struct ClaimKnobs {
   // Maximum number of inserts for one claim while commit answers are lost or the key's row changes.
   uint32_t max_inserts = 3;
-  // Answers larger than this aren't stored; a resend is then told only that the request ran.
+  // Answers larger than this aren't stored; a resend then gets an error which states that the
+  // request ran.
   size_t max_stored_answer_bytes = 256UL * 1024;
   // Maximum number of outcomes waiting in memory to be stored. Beyond it, the oldest is dropped;
   // its key then stays claimed, which is safe.
--- a/src/once/claim_registry.h
+++ b/src/once/claim_registry.h
@@ -21,7 +21,7 @@
 class ClaimRegistry;
 
 // The right to dispatch one request once. Destroying it without finish() or release() leaves the
-// key claimed: resends are told that the outcome is unknown.
+// key claimed: resends fail with kOutcomeUnknown.
 class Claim {
  public:
   Claim(ClaimRegistry& registry, ClaimRow row, ClaimRecord record)
--- a/src/once/claim_retention_knobs.h
+++ b/src/once/claim_retention_knobs.h
@@ -29,7 +29,7 @@
   Duration page_interval = std::chrono::seconds(5);
   // Rows per page. Kept small because answers may be large.
   uint32_t page_rows = 32;
-  // Delay after a store failure; longer if the store asks for it.
+  // Delay after a store failure; longer if the store's error has a longer retry_after.
   Duration failure_delay = std::chrono::minutes(1);
   ClaimRetentionSafeguards safeguards;
 };
--- a/src/once/claim_sweep.cc
+++ b/src/once/claim_sweep.cc
@@ -117,7 +117,7 @@
                  return std::find(failed.begin(), failed.end(), row.key) == failed.end();
                });
   if (unchanged.size() == rows.size()) {
-    return page_done();  // the store named no failed condition, so the changed rows are unknown
+    return page_done();  // the store returned no failed condition, so the changed rows are unknown
   }
   remove(std::move(unchanged));
 }
--- a/src/peers/peer_exchange.cc
+++ b/src/peers/peer_exchange.cc
@@ -259,7 +259,7 @@
 }
 
 // While this process was suspended it could not receive anything: the pause must not count as
-// silence of its peers, nor of its store in the heartbeats that it sends.
+// silence of its peers, nor as store silence in the heartbeats that it sends.
 void PeerExchange::compensate_own_pause() {
   const MonotonicTime now = time_source_.monotonic_now();
   const Duration pause = now - last_tick_;
--- a/src/peers/peer_exchange.h
+++ b/src/peers/peer_exchange.h
@@ -59,7 +59,7 @@
   Duration lapse_after = std::chrono::milliseconds(2500);
   // However rarely a peer sends, it lapses only after this many missed heartbeats.
   int missed_heartbeats = 5;
-  // Used instead of lapse_after by a node that hears no peer: it may itself be the one cut off.
+  // Used instead of lapse_after by a node that receives no heartbeats: it may itself be cut off.
   Duration lapse_when_alone = std::chrono::milliseconds(6000);
   // The work of a peer that a healthy store has not answered for this long is taken over.
   Duration store_silence = std::chrono::milliseconds(2600);
@@ -156,7 +156,7 @@
   // @return the address at which the node of that session accepts calls of peers, unless a newer
   // session has replaced it.
   std::optional<Address> address_of(const std::string& session) const;
-  // How long the store has not answered this node, beyond the time it may delay an answer.
+  // Time since the store last answered this node, beyond the time it may delay an answer.
   Duration own_store_silence() const;
   // Whether the store has been silent for so long that this node's view may be stale.
   bool store_lost() const { return own_store_silence() > knobs_.store_silence; }
@@ -181,7 +181,7 @@
     StoreVersion announcement = 0;
     MonotonicTime announced{};
     MonotonicTime last_heard{};         // the last heartbeat of this session
-    Duration next_heartbeat_within{0};  // the next one comes within it; 0: not said
+    Duration next_heartbeat_within{0};  // the next one comes within it; 0: unknown
     uint64_t sequence = 0;
     bool draining = false;
     Duration store_silence{0};
--- a/src/peers/peer_queries.cc
+++ b/src/peers/peer_queries.cc
@@ -42,8 +42,8 @@
 }
 
 // The store is considered down for all only while a majority of all nodes, including this one, has
-// recently reported that it does not answer them. A node that is cut off hears too few reports, and
-// a dead node does not prevent a majority.
+// recently reported that it does not answer them. A node that is cut off receives too few
+// reports for a majority, and a dead node does not prevent one.
 bool PeerExchange::others_may_reach_store() const {
   if (!listed_) {
     return true;
--- a/src/watch/table_watcher.cc
+++ b/src/watch/table_watcher.cc
@@ -190,7 +190,7 @@
     if (on_missed_) {
       on_missed_(newest_hint_);
     }
-    return;  // the store is asked at its regular interval
+    return;  // the store is polled at its regular interval
   }
   // The first time, possibly only the answer was lost.
   if ((failures_ > 0 || ++misses_ > 1) && on_missed_) {
--- a/src/watch/table_watcher.h
+++ b/src/watch/table_watcher.h
@@ -68,8 +68,8 @@
   // After changes have arrived, the next ones are requested this much later, so that they arrive
   // together: every change goes to every node, and would otherwise cost a call per node.
   Duration batch_delay{0};
-  // Peers report changes and send their rows. The store is only asked once per such interval for
-  // further changes, and usually returns no row.
+  // Peers report changes and send their rows. The store is polled for further changes only
+  // once per `batch_delay`, and usually returns no row.
   bool from_peers = false;
 };
 
@@ -79,7 +79,8 @@
   // The store answers all nodes within about 10 ms of each other; while it is slow, this costs one
   // additional call.
   Duration hint_timeout = std::chrono::milliseconds(150);
-  // The same if rows come from peers: changes that are closer together are sent together.
+  // Used instead of hint_timeout if rows come from peers: changes that are closer together are sent
+  // together.
   Duration peer_batch_delay = std::chrono::milliseconds(300);
   Duration first_retry = std::chrono::milliseconds(100);
   Duration longest_retry = std::chrono::milliseconds(800);
--- a/tests/jobs/cluster_faults.h
+++ b/tests/jobs/cluster_faults.h
@@ -82,7 +82,7 @@
         break;
       case Event::kPlannedStop:
         if (node != nullptr) {
-          // It may be killed before everything it knows is stored.
+          // It may be killed before all its data is stored.
           ++losses_;
           node->node.begin_drain([this, name] {
             call_after(cluster_.loop, restart_after_, [this, name] { cluster_.start_node(name); });
--- a/tests/jobs/ended_job_test.cc
+++ b/tests/jobs/ended_job_test.cc
@@ -14,7 +14,7 @@
 
 class EndedJobTest : public EndedJobFixture {};
 
-// The store answers the node that ends the job but not its owner, which still hears its peers.
+// The store answers the node that ends the job but not its owner, which still receives heartbeats.
 TEST_F(EndedJobTest, AnOwnerCutOffFromTheStoreStartsNoItemOfAnEndedJob) {
   ServingCluster cluster(3);
   start_job(cluster);
--- a/tests/jobs/retry_budget_property_test.cc
+++ b/tests/jobs/retry_budget_property_test.cc
@@ -42,7 +42,7 @@
  private:
   static constexpr size_t kItems = 6;
 
-  // By the item's number: fails each time, can never be done, or completes.
+  // By the item's number: fails each time, is impossible, or completes.
   static int status_of(const std::string& item) {
     constexpr std::array<int, 3> kStatuses = {kFailed, kImpossible, kOk};
     return kStatuses[static_cast<size_t>(item.back() - '0') % kStatuses.size()];
@@ -69,8 +69,8 @@
     });
   }
 
-  // An owner that took the job over after the store recorded that an item's runs are used up knows
-  // of that; an earlier owner learns of it at the end of at most one further run.
+  // An owner that took the job over after the store recorded that an item's runs are used up starts
+  // no further run; an earlier owner detects it at the end of at most one further run.
   void check_may_run(const std::string& item, const std::string& session) {
     std::optional<StoreVersion> used_up;
     const auto failures = cluster_.shared.rows.changes(kStoredFailureTable, 0);
--- a/tests/jobs/retry_budget_test.cc
+++ b/tests/jobs/retry_budget_test.cc
@@ -1,11 +1,12 @@
 // Guards against items that run more often than their attempts allow because their job changes its
-// owner. Items must end after three failed runs, or after one answer that they are impossible, but
-// reached workers four and five times: after a restart of all nodes, live nodes took each other for
-// dead (tested beside load_relay), jobs changed their owner several times a second, and each owner
-// counted an item's failed runs from 1. Four of five runs of one item came from three owners within
-// 2.8 s while the store answered every call; `session_regained` named sessions heard 0 to 240 ms
-// before. Failed runs and impossible items were known only in the owner's memory until a later
-// checkpoint or commit, which an item without events never reaches.
+// owner. Items must end after three failed runs, or after one run that reports them as impossible,
+// but they reached workers four and five times: after a restart of all nodes, live nodes took each
+// other for dead (covered by tests/load_relay), jobs changed their owner several times a second,
+// and each owner counted an item's failed runs from 1. Four of five runs of one item came from
+// three owners within 2.8 s while the store answered every call; `session_regained` was logged for
+// sessions whose last heartbeat was 0 to 240 ms old. Failed runs and impossible items were known
+// only in the owner's memory until a later checkpoint or commit, which an item without events never
+// reaches.
 #include <gtest/gtest.h>
 
 #include "src/jobs/job_rows.h"
--- a/tests/jobs/stale_view_test.cc
+++ b/tests/jobs/stale_view_test.cc
@@ -1,7 +1,7 @@
-// An owner can misjudge the age of its view: the age counts from the end of a load, its peers were
-// last heard during an outage or half a minute ago, an end was written without a notice, or a
-// notice was meant for another node. Each case started items of an ended job, or stopped a job that
-// had not been ended.
+// Guards against an owner that misjudges the age of its view: the age was counted from the end of a
+// load, the last heartbeats of its peers came during an outage or half a minute ago, an end was
+// written without a notice, or a notice was meant for another node. In each case, the owner started
+// items of an ended job or stopped a job that had not been ended.
 #include <gtest/gtest.h>
 
 #include "chalkshed/row_handover.h"
--- a/tests/node/key_age_test.cc
+++ b/tests/node/key_age_test.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // The store fails in part: the node's watch gets no responses, but its transactions do. Each such
-// response used to count as a confirmation of a configuration that it says nothing about.
+// response used to count as a confirmation of the configuration, which it does not contain.
 TEST(KeyAgeTest, ResponseAboutAnotherTableConfirmsNoKey) {
   ServingCluster cluster(0);
   const auto with_keys = [&](uint64_t version, const std::vector<std::string>& keys) {
--- a/tests/quarantine/run_turns_test.cc
+++ b/tests/quarantine/run_turns_test.cc
@@ -39,7 +39,8 @@
         }
     }
 
-    /** All nodes ask every millisecond. \return Those that may start a run within the time. */
+    /** All nodes request the turn every millisecond. \return Those that may start a run within the
+     * time. */
     std::vector<std::string> ask_all(Duration length, MonotonicTime not_before = {}) {
         std::vector<std::string> may;
         for (Duration passed{0}; passed < length; passed += milliseconds(1)) {
--- a/tests/quarantine/shared_evidence_test.cc
+++ b/tests/quarantine/shared_evidence_test.cc
@@ -85,7 +85,7 @@
     EXPECT_TRUE(holds(fleet, "n2"));
 }
 
-// Twelve nodes that don't hear each other: each sees one crash in twelve itself.
+// Twelve nodes that receive no messages from each other: each sees one crash in twelve itself.
 TEST(SharedEvidence, NodesCutFromEachOtherSendFewLateRunsAltogether) {
     crashing_fleet::knobs knobs;
     knobs.nodes = 12;
--- a/tests/quarantine/worker_crashes_test.cc
+++ b/tests/quarantine/worker_crashes_test.cc
@@ -42,7 +42,7 @@
     knobs.restarts_after = milliseconds(1500);
     crashing_fleet fleet(knobs);
     fleet.fatal = {kFatal};
-    // Answers from the restarted workers say nothing about the crashed incarnations.
+    // Answers from the restarted workers are no evidence about the crashed incarnations.
     for (int step = 0; step < 300; ++step) {
         fleet.send(fleet.next_node(), "/fixed/1", "other " + std::to_string(step));
         if (step % 10 == 0) {
