--- a/tests/soak/fleet/coordinator.cc
+++ b/tests/soak/fleet/coordinator.cc
@@ -24,12 +24,12 @@
 constexpr const char *kHost = "fleet.example";
 constexpr const char *kSourceLibrary = "libchalkshed_soak_source.so";
 constexpr Duration kStopGrace = seconds(8);
-constexpr Duration kComesUp = seconds(90);
-constexpr Duration kBetweenStarts = milliseconds(30);
-constexpr Duration kLookAgain = milliseconds(200);
-constexpr Duration kCalm = seconds(4);
+constexpr Duration kStartTimeout = seconds(90);
+constexpr Duration kStartInterval = milliseconds(30);
+constexpr Duration kReadinessInterval = milliseconds(200);
+constexpr Duration kSettleTime = seconds(4);
 
-int64_t in_ms(Duration duration) {
+int64_t to_milliseconds(Duration duration) {
     return std::chrono::duration_cast<milliseconds>(duration).count();
 }
 
@@ -52,10 +52,10 @@
                    {"host", kHost},
                    {"path_prefix", "/" + route.name + "/"},
                    {"kind", kind_name(route.kind)},
-                   {"timeout_ms", in_ms(route.timeout)},
-                   {"target_ms", in_ms(route.target)},
-                   {"run_target_ms", in_ms(route.run_target)},
-                   {"retention_s", in_ms(route.retention) / 1000},
+                   {"timeout_ms", to_milliseconds(route.timeout)},
+                   {"target_ms", to_milliseconds(route.target)},
+                   {"run_target_ms", to_milliseconds(route.run_target)},
+                   {"retention_s", to_milliseconds(route.retention) / 1000},
                    {"attempts", route.attempts},
                    {"priority", route.priority},
                    {"resumable", route.resumable},
@@ -66,7 +66,7 @@
     return fields;
 }
 
-std::string rig_folder() {
+std::string executable_folder() {
     return std::filesystem::read_symlink("/proc/self/exe").parent_path().string();
 }
 
@@ -90,13 +90,13 @@
         {"node_replace", &coordinator::replace_node},
         {"node_upgrade", &coordinator::upgrade_nodes},
         {"node_upgrade_all", &coordinator::upgrade_all_nodes},
-        {"store_refuse", &coordinator::refuse_at_store},
+        {"store_refuse", &coordinator::refuse_store_calls},
         {"store_slow", &coordinator::slow_store},
-        {"store_cut", &coordinator::cut_from_store},
-        {"store_lose_answers", &coordinator::lose_answers},
-        {"store_late", &coordinator::late_commits},
-        {"store_forget", &coordinator::forget_history},
-        {"route_move", &coordinator::move_route},
+        {"store_cut", &coordinator::block_nodes_at_store},
+        {"store_lose_answers", &coordinator::lose_store_answers},
+        {"store_late", &coordinator::delay_store_commits},
+        {"store_forget", &coordinator::drop_store_history},
+        {"route_move", &coordinator::reroute},
     };
     return kFunctions;
 }
@@ -125,14 +125,14 @@
     for (uint64_t number = 0; number < plan.callers.processes; ++number) {
         start_child("callers", number, layout.caller_control(number));
     }
-    process_.later(kComesUp, [this] {
-        if (!loaded_) {
+    process_.run_after(kStartTimeout, [this] {
+        if (!load_started_) {
             process_.stop(); // nothing can be tested
         }
     });
     wait_for_children();
     process_.run();
-    return came_up_;
+    return fleet_ready_;
 }
 
 void coordinator::start_child(const std::string &role, uint64_t number, const Address &control) {
@@ -170,24 +170,24 @@
     send_command(process_.client, children_[children_ready_].control, "ping", json::object(),
                  [this](const Expected<HttpResponse> &answer) {
                      children_ready_ += answer ? 1 : 0;
-                     process_.later(answer ? Duration(0) : milliseconds(50),
-                                    [this] { wait_for_children(); });
+                     process_.run_after(answer ? Duration(0) : milliseconds(50),
+                                        [this] { wait_for_children(); });
                  });
 }
 
 void coordinator::handle_child_ready() {
     write_configuration();
-    tell_all("workers", "register", "{}");
-    process_.later(milliseconds(500), [this] { start_nodes(); });
+    send_to_all("workers", "register", "{}");
+    process_.run_after(milliseconds(500), [this] { start_nodes(); });
 }
 
 void coordinator::start_nodes() {
     const uint64_t nodes = options_.role.plan.nodes;
     for (uint64_t number = 0; number < nodes; ++number) {
-        process_.later(kBetweenStarts * number, [this, number] { start_node(number); });
+        process_.run_after(kStartInterval * number, [this, number] { start_node(number); });
     }
-    process_.later(kBetweenStarts * nodes, [this] {
-        keep_nodes_running();
+    process_.run_after(kStartInterval * nodes, [this] {
+        restart_ended_nodes();
         wait_for_nodes();
     });
 }
@@ -195,17 +195,18 @@
 void coordinator::start_node(uint64_t number) {
     const deployment &plan = options_.role.plan;
     node_options node;
-    // Machines that are added while others are upgraded come with either build.
-    const bool production = !options_.production.empty() && (!loaded_ || process_.chance(50));
+    // Nodes that are added while others are being upgraded may have either build.
+    const bool production = !options_.production.empty() && (!load_started_ || process_.chance(50));
     node.program = production ? options_.production : options_.program;
     node.folder = options_.role.folder;
     node.name = "node-" + std::to_string(number);
     node.zone = plan.zones[number % plan.zones.size()];
     node.ip = options_.role.layout.node_ip(number);
     node.store = options_.role.layout.store();
-    node.settings = "bounds.cancel_ms=" + std::to_string(in_ms(plan.bounds.ended_job)) + "\n";
+    node.settings =
+        "bounds.cancel_ms=" + std::to_string(to_milliseconds(plan.bounds.ended_job)) + "\n";
     node.log_level = options_.log_level;
-    node.preload = rig_folder() + "/" + kSourceLibrary;
+    node.preload = executable_folder() + "/" + kSourceLibrary;
     nodes_.push_back(std::make_unique<node_process>(std::move(node)));
     restart(*nodes_.back());
 }
@@ -219,7 +220,7 @@
     entry.ip = node.callers().ip;
     entry.pid = node.process();
     entry.production = runs_production(node);
-    process_.note(entry);
+    process_.add_record(entry);
 }
 
 void coordinator::wait_for_nodes() {
@@ -236,40 +237,40 @@
                                       return;
                                   }
                                   const bool all = *ready == nodes_.size();
-                                  process_.later(all ? kCalm : kLookAgain, [this, all] {
-                                      all ? begin_load() : wait_for_nodes();
-                                  });
+                                  process_.run_after(
+                                      all ? kSettleTime : kReadinessInterval,
+                                      [this, all] { all ? begin_load() : wait_for_nodes(); });
                               });
     }
 }
 
 void coordinator::begin_load() {
-    loaded_ = came_up_ = true;
+    load_started_ = fleet_ready_ = true;
     first_memory_mb_ = largest_node_mb();
-    process_.measure();
-    tell_all("", "measure", "{}");
-    tell_all("callers", "begin", "{}");
+    process_.start_lag_measurement();
+    send_to_all("", "measure", "{}");
+    send_to_all("callers", "begin", "{}");
     for (const fault_options &fault : options_.role.plan.faults) {
-        plan_fault(fault);
+        schedule_fault(fault);
     }
-    process_.later(options_.role.plan.length, [this] { end_load(); });
+    process_.run_after(options_.role.plan.length, [this] { end_load(); });
 }
 
 void coordinator::end_load() {
     load_ended_ = process_.now();
     last_memory_mb_ = largest_node_mb();
     store_ = {};
-    send_troubles();
+    send_store_faults();
     send_command(process_.client, options_.role.layout.store_control(), "calls", json::object(),
                  [this](const Expected<HttpResponse> &answer) {
                      store_calls_ = answer ? answer->body : "{}";
                  });
-    tell_all("workers", "heal", "{}");
-    tell_all("callers", "end", "{}");
-    process_.later(seconds(1), [this] { wait_for_jobs(); });
+    send_to_all("workers", "heal", "{}");
+    send_to_all("callers", "end", "{}");
+    process_.run_after(seconds(1), [this] { wait_for_jobs(); });
 }
 
-/** Until nothing is under way, or the time to settle is over. */
+/** Polls the callers until no call or job is open or the settle time has passed. */
 void coordinator::wait_for_jobs() {
     const bool late = process_.now() - load_ended_ > options_.role.plan.settle;
     if (late) {
@@ -292,18 +293,18 @@
                          if (--*waiting > 0) {
                              return;
                          }
-                         // What must not run any more is watched a while longer.
+                         // Keeps watching for runs that must not happen any more.
                          const bool done = *open == 0;
-                         process_.later(done ? 2 * kCalm : milliseconds(500),
-                                        [this, done] { done ? end_run() : wait_for_jobs(); });
+                         process_.run_after(done ? 2 * kSettleTime : milliseconds(500),
+                                            [this, done] { done ? end_run() : wait_for_jobs(); });
                      });
     }
 }
 
 void coordinator::end_run() {
-    ending_ = true;
-    tell_all("", "stop", "{}");
-    process_.later(seconds(1), [this] {
+    run_ending_ = true;
+    send_to_all("", "stop", "{}");
+    process_.run_after(seconds(1), [this] {
         stop_children();
         process_.stop();
     });
@@ -317,9 +318,9 @@
     nodes_.clear();
 }
 
-/** \param role All roles when empty. */
-void coordinator::tell_all(const std::string &role, const std::string &name,
-                           const std::string &fields) {
+/** \param role Empty: all roles. */
+void coordinator::send_to_all(const std::string &role, const std::string &name,
+                              const std::string &fields) {
     for (const child &each : children_) {
         if (role.empty() || each.role == role) {
             send_command(process_.client, each.control, name, json::parse(fields),
@@ -349,31 +350,31 @@
                          configuration_written entry;
                          entry.at = process_.now();
                          entry.version = version;
-                         process_.note(entry);
+                         process_.add_record(entry);
                      }
                  });
 }
 
 uint64_t coordinator::largest_node_mb() const {
-    uint64_t most = 0;
+    uint64_t largest = 0;
     for (const auto &node : nodes_) {
-        most = std::max(most, memory_mb(node->process()));
+        largest = std::max(largest, memory_mb(node->process()));
     }
-    return most;
+    return largest;
 }
 
-/* Nodes that have ended are started again. */
+/* Restart of nodes that have exited. */
 
-void coordinator::keep_nodes_running() {
+void coordinator::restart_ended_nodes() {
     for (const auto &node : nodes_) {
-        keep_running(*node);
+        restart_if_ended(*node);
     }
-    if (!ending_) {
-        process_.later(milliseconds(50), [this] { keep_nodes_running(); });
+    if (!run_ending_) {
+        process_.run_after(milliseconds(50), [this] { restart_ended_nodes(); });
     }
 }
 
-void coordinator::keep_running(node_process &node) {
+void coordinator::restart_if_ended(node_process &node) {
     const bool stopping = node.stopping != MonotonicTime{};
     const auto down = down_until_.find(&node);
     if (node.running()) {
@@ -404,23 +405,23 @@
 
 /* Faults. */
 
-void coordinator::plan_fault(const fault_options &fault) {
+void coordinator::schedule_fault(const fault_options &fault) {
     if (fault.per_minute <= 0) {
         return;
     }
     const double wait = -std::log(1 - process_.random.unit()) * 60 / fault.per_minute;
-    process_.later(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait)),
-                   [this, &fault] {
-                       if (load_ended_ == MonotonicTime{}) {
-                           begin_fault(fault);
-                           plan_fault(fault);
-                       }
-                   });
+    process_.run_after(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait)),
+                       [this, &fault] {
+                           if (load_ended_ == MonotonicTime{}) {
+                               begin_fault(fault);
+                               schedule_fault(fault);
+                           }
+                       });
 }
 
 void coordinator::begin_fault(const fault_options &fault) {
     ++faults_[fault.kind];
-    const Duration length = process_.between(fault.shortest, fault.longest);
+    const Duration length = process_.random_duration(fault.shortest, fault.longest);
     const auto found = fault_functions().find(fault.kind);
     if (found == fault_functions().end()) {
         disturb_worker(fault.kind, length);
@@ -429,27 +430,27 @@
     (this->*found->second)(length);
 }
 
-void coordinator::note_disturbance(const std::string &kind, disturbed_part part,
-                                   const std::string &target, Duration length) {
+void coordinator::record_disturbance(const std::string &kind, disturbed_part part,
+                                     const std::string &target, Duration length) {
     disturbance entry;
     entry.at = process_.now();
     entry.to = entry.at + length;
     entry.kind = kind;
     entry.part = part;
     entry.target = target;
-    process_.note(entry);
+    process_.add_record(entry);
 }
 
-/** \return Nothing when the node that was drawn is disturbed already. */
-node_process *coordinator::any_node() {
+/** \return A random node; null if that node is already disturbed. */
+node_process *coordinator::pick_undisturbed_node() {
     node_process &node = *nodes_[process_.random.below(nodes_.size())];
     const bool disturbed = node.frozen || node.stopping != MonotonicTime{} ||
                            down_until_.contains(&node) || replaced_.contains(&node);
     return disturbed ? nullptr : &node;
 }
 
-void coordinator::kill_for(node_process &node, const std::string &kind, Duration length) {
-    note_disturbance(kind, disturbed_part::kNode, node.name(), length);
+void coordinator::kill_node_for(node_process &node, const std::string &kind, Duration length) {
+    record_disturbance(kind, disturbed_part::kNode, node.name(), length);
     node.stopping = {};
     node.frozen = false;
     down_until_[&node] = process_.now() + length;
@@ -457,176 +458,176 @@
 }
 
 void coordinator::kill_node(Duration length) {
-    if (node_process *node = any_node()) {
-        kill_for(*node, "node_kill", length);
+    if (node_process *node = pick_undisturbed_node()) {
+        kill_node_for(*node, "node_kill", length);
     }
 }
 
-/** A share of all, at the same moment. */
+/** Kills 30 to 100 percent of the nodes at the same time. */
 void coordinator::kill_all_nodes(Duration length) {
     const uint64_t percent = 30 + process_.random.below(71);
     for (const auto &node : nodes_) {
         if (process_.chance(percent) && !replaced_.contains(node.get())) {
-            kill_for(*node, "node_kill_all", length);
+            kill_node_for(*node, "node_kill_all", length);
         }
     }
 }
 
 void coordinator::freeze_node(Duration length) {
-    node_process *node = any_node();
+    node_process *node = pick_undisturbed_node();
     if (node == nullptr) {
         return;
     }
-    note_disturbance("node_freeze", disturbed_part::kNode, node->name(), length);
+    record_disturbance("node_freeze", disturbed_part::kNode, node->name(), length);
     node->frozen = true;
     node->signal(SIGSTOP);
-    process_.later(length, [node] {
+    process_.run_after(length, [node] {
         node->frozen = false;
         node->signal(SIGCONT);
     });
 }
 
-/** Planned stops, at times of two nodes, with reloads before and signals that come twice. */
+/** Planned stops, sometimes of several nodes, some with reloads before and a repeated SIGTERM. */
 void coordinator::stop_node(Duration /*length*/) {
-    node_process *node = any_node();
+    node_process *node = pick_undisturbed_node();
     if (node == nullptr) {
         return;
     }
     if (process_.chance(30)) {
         for (int count = 0; count < 3; ++count) {
-            process_.later(milliseconds(60 * count), [node] { node->signal(SIGHUP); });
+            process_.run_after(milliseconds(60 * count), [node] { node->signal(SIGHUP); });
         }
-        process_.later(milliseconds(500), [node] { node->signal(SIGTERM); });
+        process_.run_after(milliseconds(500), [node] { node->signal(SIGTERM); });
     }
     begin_planned_stop(*node, "node_stop");
     if (process_.chance(30)) {
-        process_.later(process_.between(milliseconds(0), milliseconds(1500)),
-                       [this] { stop_node({}); });
+        process_.run_after(process_.random_duration(milliseconds(0), milliseconds(1500)),
+                           [this] { stop_node({}); });
     }
 }
 
 void coordinator::begin_planned_stop(node_process &node, const std::string &kind) {
-    note_disturbance(kind, disturbed_part::kNode, node.name(), kStopGrace);
+    record_disturbance(kind, disturbed_part::kNode, node.name(), kStopGrace);
     node.stopping = process_.now();
     node.signal(SIGTERM);
 }
 
-void coordinator::give_build(node_process &node, bool production) {
+void coordinator::set_build(node_process &node, bool production) {
     node.set_program(production ? options_.production : options_.program);
 }
 
-/** Up to four at a time, in any order; some go back to the older build. */
+/** Upgrades up to four nodes at a time, in any order; some return to the older build. */
 void coordinator::upgrade_nodes(Duration /*length*/) {
-    constexpr uint64_t kMostAtOnce = 4;
-    constexpr uint64_t kBackPercent = 30;
-    for (uint64_t count = 1 + process_.random.below(kMostAtOnce); count > 0; --count) {
-        node_process *node = any_node();
-        if (node == nullptr || (!runs_production(*node) && !process_.chance(kBackPercent))) {
+    constexpr uint64_t kMaxNodesAtOnce = 4;
+    constexpr uint64_t kRollbackPercent = 30;
+    for (uint64_t count = 1 + process_.random.below(kMaxNodesAtOnce); count > 0; --count) {
+        node_process *node = pick_undisturbed_node();
+        if (node == nullptr || (!runs_production(*node) && !process_.chance(kRollbackPercent))) {
             continue;
         }
-        give_build(*node, !runs_production(*node));
+        set_build(*node, !runs_production(*node));
         begin_planned_stop(*node, "node_upgrade");
     }
 }
 
-/** All lose power at the same moment and come back with one build. */
+/** Kills all nodes at the same time, as in a power loss; all restart with the same build. */
 void coordinator::upgrade_all_nodes(Duration length) {
     const bool production = process_.chance(50);
     for (const auto &node : nodes_) {
         if (!replaced_.contains(node.get())) {
-            give_build(*node, production);
-            kill_for(*node, "node_upgrade_all", length);
+            set_build(*node, production);
+            kill_node_for(*node, "node_upgrade_all", length);
         }
     }
 }
 
 void coordinator::reload_node(Duration /*length*/) {
-    if (node_process *node = any_node()) {
+    if (node_process *node = pick_undisturbed_node()) {
         node->signal(SIGHUP);
     }
 }
 
-/** One goes for good, and another comes with a name and an address that nobody has seen. */
+/** Removes a node permanently and starts another with a new name and address. */
 void coordinator::replace_node(Duration length) {
-    node_process *node = any_node();
-    if (node == nullptr || nodes_.size() >= kMostNodes) {
+    node_process *node = pick_undisturbed_node();
+    if (node == nullptr || nodes_.size() >= kMaxNodes) {
         return;
     }
-    kill_for(*node, "node_replace", length);
+    kill_node_for(*node, "node_replace", length);
     replaced_.insert(node);
     const uint64_t number = nodes_.size();
     start_node(number);
-    note_disturbance("node_replace", disturbed_part::kNode, nodes_.back()->name(), seconds(3));
-    tell_all("callers", "add_node", json{{"node", number}}.dump());
-}
-
-void coordinator::send_troubles() {
-    const std::set<std::string> away(store_.turned_away.begin(), store_.turned_away.end());
-    const json troubles = {{"status", store_.refusing > 0 ? 503 : 0},
-                           {"delay_ms", store_.slow > 0 ? in_ms(store_.delay) : 0},
-                           {"lost_percent", store_.losing + store_.late > 0 ? 35 : 0},
-                           {"late_ms", store_.late > 0 ? 2500 : 0},
-                           {"turned_away", away}};
-    send_command(process_.client, options_.role.layout.store_control(), "troubles", troubles,
+    record_disturbance("node_replace", disturbed_part::kNode, nodes_.back()->name(), seconds(3));
+    send_to_all("callers", "add_node", json{{"node", number}}.dump());
+}
+
+void coordinator::send_store_faults() {
+    const std::set<std::string> blocked(store_.blocked_ips.begin(), store_.blocked_ips.end());
+    const json faults = {{"status", store_.refusing > 0 ? 503 : 0},
+                         {"delay_ms", store_.slow > 0 ? to_milliseconds(store_.delay) : 0},
+                         {"lost_percent", store_.losing + store_.late > 0 ? 35 : 0},
+                         {"late_ms", store_.late > 0 ? 2500 : 0},
+                         {"turned_away", blocked}};
+    send_command(process_.client, options_.role.layout.store_control(), "troubles", faults,
                  [](const Expected<HttpResponse> & /*answer*/) {});
 }
 
-void coordinator::trouble_store(const std::string &kind, uint64_t store_state::*counter,
-                                Duration length) {
-    note_disturbance(kind, disturbed_part::kStore, "", length);
+void coordinator::begin_store_fault(const std::string &kind, uint64_t store_state::*counter,
+                                    Duration length) {
+    record_disturbance(kind, disturbed_part::kStore, "", length);
     ++(store_.*counter);
-    send_troubles();
-    process_.later(length, [this, counter] {
+    send_store_faults();
+    process_.run_after(length, [this, counter] {
         store_.*counter -= store_.*counter > 0 ? 1 : 0;
-        send_troubles();
+        send_store_faults();
     });
 }
 
-void coordinator::refuse_at_store(Duration length) {
-    trouble_store("store_refuse", &store_state::refusing, length);
+void coordinator::refuse_store_calls(Duration length) {
+    begin_store_fault("store_refuse", &store_state::refusing, length);
 }
 
 void coordinator::slow_store(Duration length) {
-    // From sixty times the usual to just under the time that nodes give a call.
-    store_.delay = process_.between(milliseconds(240), milliseconds(1900));
-    trouble_store("store_slow", &store_state::slow, length);
+    // From sixty times the usual delay to just under the nodes' timeout of a store call.
+    store_.delay = process_.random_duration(milliseconds(240), milliseconds(1900));
+    begin_store_fault("store_slow", &store_state::slow, length);
 }
 
-void coordinator::lose_answers(Duration length) {
-    trouble_store("store_lose_answers", &store_state::losing, length);
+void coordinator::lose_store_answers(Duration length) {
+    begin_store_fault("store_lose_answers", &store_state::losing, length);
 }
 
-void coordinator::late_commits(Duration length) {
-    trouble_store("store_late", &store_state::late, length);
+void coordinator::delay_store_commits(Duration length) {
+    begin_store_fault("store_late", &store_state::late, length);
 }
 
-/** The store turns a third of the nodes away and serves the others. */
-void coordinator::cut_from_store(Duration length) {
+/** The store closes the connections of a third of the nodes and serves the others. */
+void coordinator::block_nodes_at_store(Duration length) {
     for (const auto &node : nodes_) {
         if (!process_.chance(33)) {
             continue;
         }
-        note_disturbance("store_cut", disturbed_part::kStore, node->name(), length);
+        record_disturbance("store_cut", disturbed_part::kStore, node->name(), length);
         const std::string ip = node->callers().ip;
-        store_.turned_away.insert(ip);
-        process_.later(length, [this, ip] {
-            const auto found = store_.turned_away.find(ip);
-            if (found != store_.turned_away.end()) {
-                store_.turned_away.erase(found);
+        store_.blocked_ips.insert(ip);
+        process_.run_after(length, [this, ip] {
+            const auto found = store_.blocked_ips.find(ip);
+            if (found != store_.blocked_ips.end()) {
+                store_.blocked_ips.erase(found);
             }
-            send_troubles();
+            send_store_faults();
         });
     }
-    send_troubles();
+    send_store_faults();
 }
 
-void coordinator::forget_history(Duration /*length*/) {
+void coordinator::drop_store_history(Duration /*length*/) {
     send_command(process_.client, options_.role.layout.store_control(), "drop_history",
                  json::object(), [](const Expected<HttpResponse> & /*answer*/) {});
 }
 
-/** A route goes to another service; nodes must follow within the bound of configurations. */
-void coordinator::move_route(Duration /*length*/) {
+/** Moves a route to another service; nodes must apply it within the configuration bound. */
+void coordinator::reroute(Duration /*length*/) {
     const deployment &plan = options_.role.plan;
     const route_options &route = plan.routes[process_.random.below(plan.routes.size())];
     if (route.kind != route_kind::kBatch) {
@@ -638,7 +639,7 @@
 void coordinator::disturb_worker(const std::string &kind, Duration length) {
     const uint64_t number = process_.random.below(options_.role.plan.worker_processes);
     send_command(process_.client, options_.role.layout.worker_control(number), "disturb",
-                 {{"kind", kind}, {"length_ms", in_ms(length)}},
+                 {{"kind", kind}, {"length_ms", to_milliseconds(length)}},
                  [](const Expected<HttpResponse> & /*answer*/) {});
 }
 
--- a/tests/soak/fleet/coordinator.h
+++ b/tests/soak/fleet/coordinator.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_COORDINATOR_H
 
 /** \file
- * Runs a fleet soak: starts the processes of the rig and the nodes, writes the configuration,
- * disturbs what it runs, and has the records checked when all has ended.
+ * Runs a fleet soak: starts the harness processes and the nodes, writes the configuration and
+ * injects faults. The records are checked after the run.
  */
 
 #include <map>
@@ -21,7 +21,7 @@
 struct fleet_options {
     role_options role; // of the coordinator itself
     std::string program;
-    /** The build that runs when the run begins; empty: `program` alone runs. */
+    /** The older build, which the nodes run at first; if empty, only `program` runs. */
     std::string production;
     std::string log_level;
 };
@@ -33,7 +33,7 @@
     coordinator(const coordinator &) = delete;
     coordinator &operator=(const coordinator &) = delete;
 
-    /** \return Whether the fleet came up; otherwise nothing was tested. */
+    /** \return Whether the fleet became ready; otherwise nothing was tested. */
     bool run();
     /** Faults so far by kind. */
     const std::map<std::string, uint64_t> &faults() const {
@@ -43,7 +43,7 @@
     const std::string &store_calls() const {
         return store_calls_;
     }
-    /** Nodes that ended by themselves, or didn't end a planned stop as they should, in words. */
+    /** Descriptions of the nodes that exited unexpectedly or failed a planned stop. */
     const std::vector<std::string> &node_failures() const {
         return node_failures_;
     }
@@ -51,7 +51,7 @@
     const std::map<std::string, uint64_t> &starts() const {
         return starts_;
     }
-    /** Memory of the largest node, at the begin of the load and at its end. */
+    /** Memory of the largest node, at the start and at the end of the load. */
     uint64_t first_memory_mb() const {
         return first_memory_mb_;
     }
@@ -65,19 +65,19 @@
         std::string role;
         Address control;
     };
-    /** Troubles of the store that are under way, by kind. */
+    /** Counts of the active store faults, by kind. */
     struct store_state {
         uint64_t refusing = 0;
         uint64_t slow = 0;
         uint64_t losing = 0;
         uint64_t late = 0;
         Duration delay{0}; // while it is slow
-        std::multiset<std::string> turned_away;
+        std::multiset<std::string> blocked_ips;
     };
     using fault_function = void (coordinator::*)(Duration length);
     static const std::map<std::string, fault_function> &fault_functions();
 
-    // The course of a run.
+    // Phases of a run.
     void start_child(const std::string &role, uint64_t number, const Address &control);
     void wait_for_children();
     void handle_child_ready();
@@ -89,16 +89,16 @@
     void wait_for_jobs();
     void end_run();
     void stop_children();
-    void keep_nodes_running();
-    void keep_running(node_process &node);
+    void restart_ended_nodes();
+    void restart_if_ended(node_process &node);
     void restart(node_process &node);
     uint64_t largest_node_mb() const;
 
     void write_configuration();
-    void tell_all(const std::string &role, const std::string &name, const std::string &fields);
+    void send_to_all(const std::string &role, const std::string &name, const std::string &fields);
 
     // Faults.
-    void plan_fault(const fault_options &fault);
+    void schedule_fault(const fault_options &fault);
     void begin_fault(const fault_options &fault);
     void kill_node(Duration length);
     void kill_all_nodes(Duration length);
@@ -111,22 +111,23 @@
     bool runs_production(const node_process &node) const {
         return node.program() == options_.production;
     }
-    void give_build(node_process &node, bool production);
+    void set_build(node_process &node, bool production);
     void begin_planned_stop(node_process &node, const std::string &kind);
-    void refuse_at_store(Duration length);
+    void refuse_store_calls(Duration length);
     void slow_store(Duration length);
-    void cut_from_store(Duration length);
-    void lose_answers(Duration length);
-    void late_commits(Duration length);
-    void forget_history(Duration length);
-    void move_route(Duration length);
+    void block_nodes_at_store(Duration length);
+    void lose_store_answers(Duration length);
+    void delay_store_commits(Duration length);
+    void drop_store_history(Duration length);
+    void reroute(Duration length);
     void disturb_worker(const std::string &kind, Duration length);
-    void kill_for(node_process &node, const std::string &kind, Duration length);
-    void note_disturbance(const std::string &kind, disturbed_part part, const std::string &target,
-                          Duration length);
-    void send_troubles();
-    void trouble_store(const std::string &kind, uint64_t store_state::*counter, Duration length);
-    node_process *any_node();
+    void kill_node_for(node_process &node, const std::string &kind, Duration length);
+    void record_disturbance(const std::string &kind, disturbed_part part, const std::string &target,
+                            Duration length);
+    void send_store_faults();
+    void begin_store_fault(const std::string &kind, uint64_t store_state::*counter,
+                           Duration length);
+    node_process *pick_undisturbed_node();
 
     fleet_options options_;
     role_process process_;
@@ -135,7 +136,7 @@
     std::vector<std::unique_ptr<node_process>> nodes_;
     std::map<const node_process *, MonotonicTime> down_until_;
     std::set<const node_process *> replaced_;
-    std::map<std::string, std::string> services_; // by route, where the operator moved it
+    std::map<std::string, std::string> services_; // current service of each route, by route name
     uint64_t version_ = 0;
     store_state store_;
     std::map<std::string, uint64_t> faults_;
@@ -145,9 +146,9 @@
     uint64_t first_memory_mb_ = 0;
     uint64_t last_memory_mb_ = 0;
     MonotonicTime load_ended_{};
-    bool came_up_ = false;
-    bool loaded_ = false;
-    bool ending_ = false;
+    bool fleet_ready_ = false;
+    bool load_started_ = false;
+    bool run_ending_ = false;
 };
 
 } // namespace chalkshed::soak
--- a/tests/soak/fleet/fleet_layout.h
+++ b/tests/soak/fleet/fleet_layout.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_FLEET_LAYOUT_H
 
 /** \file
- * Where the processes of one fleet soak listen. All addresses follow from the network's number, so
- * that no process has to be told them, and runs side by side on other networks never meet.
+ * Where the processes of one fleet soak listen. All addresses are derived from the network number,
+ * so that no process needs them passed, and concurrent runs on other networks don't collide.
  */
 
 #include <string>
@@ -31,7 +31,7 @@
     Address store() const {
         return {ip(250), 17500};
     }
-    /** Where the coordinator directs the processes of a role. */
+    /** Control addresses, at which the coordinator sends commands to the processes of a role. */
     Address store_control() const {
         return {ip(250), 18000};
     }
@@ -46,8 +46,8 @@
     }
 };
 
-/** Nodes have the addresses below those of the rig. */
-constexpr uint64_t kMostNodes = 240;
+/** Node addresses lie below those of the harness. */
+constexpr uint64_t kMaxNodes = 240;
 
 } // namespace chalkshed::soak
 
--- a/tests/soak/fleet/fleet_main.cc
+++ b/tests/soak/fleet/fleet_main.cc
@@ -72,8 +72,8 @@
 }
 
 int run_coordinator(const fleet_arguments &arguments, const role_options &options) {
-    if (options.plan.nodes > kMostNodes) {
-        std::cerr << "chalkshed-soak: " << arguments.file << ": nodes: more than " << kMostNodes
+    if (options.plan.nodes > kMaxNodes) {
+        std::cerr << "chalkshed-soak: " << arguments.file << ": nodes: more than " << kMaxNodes
                   << " don't fit in one network; write fewer\n";
         return kInvalid;
     }
@@ -83,7 +83,7 @@
                      "--production, or run scripts/soak, which builds it\n";
         return kInvalid;
     }
-    // Records of an earlier run would be joined with those of this one.
+    // Records of an earlier run would be mixed with those of this one.
     std::filesystem::remove_all(std::filesystem::path(arguments.folder) / "records");
     coordinator run({options, arguments.program, arguments.production, arguments.log_level});
     if (!run.run()) {
--- a/tests/soak/fleet/fleet_main.h
+++ b/tests/soak/fleet/fleet_main.h
@@ -21,15 +21,15 @@
     uint64_t seed = 1;
     unsigned network = 9;
     std::string log_level;
-    /** In place of the file's. */
+    /** Overrides the length in the file. */
     std::optional<Duration> length;
-    /** Of a process that the coordinator has started; empty: the coordinator. */
+    /** Role of a process that the coordinator has started; empty: the coordinator. */
     std::string role;
     uint64_t number = 0;
 };
 
-/** \return The exit code: 0 when all held, 1 when something was violated or seen too rarely, 2 when
- * the run can't tell or the file is refused. */
+/** \return The exit code: 0 when all checks passed, 1 on a violation or when something was seen too
+ * rarely, 2 when the run is inconclusive or the file is invalid. */
 int run_fleet(const fleet_arguments &arguments);
 
 } // namespace chalkshed::soak
--- a/tests/soak/fleet/fleet_worker.cc
+++ b/tests/soak/fleet/fleet_worker.cc
@@ -13,8 +13,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr size_t kMostWaiting = 24;
-constexpr Duration kMuteFor = seconds(4);
+constexpr size_t kMaxQueuedRuns = 24;
+constexpr Duration kMuteDuration = seconds(4);
 constexpr int kFailedStatus = 500;
 constexpr int kImpossibleStatus = 422;
 
@@ -37,7 +37,7 @@
 
 fleet_worker::~fleet_worker() = default;
 
-HttpResponse fleet_worker::not_run(int status, const std::string &id) const {
+HttpResponse fleet_worker::not_run_response(int status, const std::string &id) const {
     return {status, {{platform::kRequestId, id}, {platform::kNotExecuted, "1"}}, ""};
 }
 
@@ -45,11 +45,11 @@
     const std::string id = header(head, platform::kRequestId);
     const std::string expected = header(head, platform::kExpectInstance);
     if (!expected.empty() && expected != incarnation_) {
-        return not_run(421, id);
+        return not_run_response(421, id);
     }
-    const bool full = running_.size() >= service_.slots && queue_.size() >= kMostWaiting;
+    const bool full = running_.size() >= service_.slots && queue_.size() >= kMaxQueuedRuns;
     if (full || process_.chance(faults.refused)) {
-        return not_run(503, id);
+        return not_run_response(503, id);
     }
     return std::nullopt;
 }
@@ -60,7 +60,7 @@
     }
     std::optional<HttpResponse> response = refusal(head);
     if (!response && process_.chance(service_.early_answer_percent)) {
-        response = not_run(503, header(head, platform::kRequestId));
+        response = not_run_response(503, header(head, platform::kRequestId));
     }
     if (response && process_.chance(50)) {
         response->headers.push_back({"Connection", "close"});
@@ -83,7 +83,7 @@
         }
     }));
     if (draining_) {
-        added->answer->close_behind();
+        added->answer->close_after_answer();
     }
     if (running_.size() < service_.slots) {
         begin(added);
@@ -93,7 +93,7 @@
 }
 
 void fleet_worker::handle_malformed(const Address &peer, const std::string &head) {
-    // Nobody has sent a request of this id, which makes the checks report it.
+    // No caller sent a request with this id, so the checks report it.
     run_begin begun;
     begun.at = process_.now();
     begun.run = next_run_number();
@@ -101,7 +101,7 @@
     begun.service = service_.name;
     begun.id = "not-http:" + head;
     begun.sender_ip = peer.ip;
-    process_.note(begun);
+    process_.add_record(begun);
 }
 
 void fleet_worker::begin(const run_ptr &added) {
@@ -115,14 +115,14 @@
     begun.sender_ip = added->request.peer.ip;
     const std::string last = header(added->request, platform::kLastEventId);
     std::from_chars(last.data(), last.data() + last.size(), begun.resume_after);
-    process_.note(begun);
+    process_.add_record(begun);
     added->next_event = begun.resume_after + 1;
     if (process_.chance(faults.broken)) {
-        added->breaks_before = added->next_event + process_.random.below(events_of(*added));
+        added->breaks_at_event = added->next_event + process_.random.below(events_of(*added));
     }
     running_.emplace(added->number, added);
     if (is_fatal(added->request.body)) {
-        end_soon_by(*added);
+        schedule_crash_by(*added);
     }
     const std::weak_ptr<run> weak = added;
     added->timer = process_.dispatcher.create_timer([this, weak] {
@@ -131,24 +131,24 @@
         }
     });
     const Duration until_first =
-        process_.between(service_.first_event / 2, service_.first_event * 3 / 2);
+        process_.random_duration(service_.first_event / 2, service_.first_event * 3 / 2);
     if (!process_.chance(faults.mute)) {
         added->timer->enable(until_first);
     } else if (process_.chance(50)) {
-        added->timer->enable(kMuteFor);
+        added->timer->enable(kMuteDuration);
     }
 }
 
-void fleet_worker::end_soon_by(const run &fatal) {
-    constexpr Duration kSoonest = milliseconds(2);
-    constexpr Duration kLatest = milliseconds(90);
-    process_.later(process_.between(kSoonest, kLatest),
-                   lifetime_.guard([this, number = fatal.number, id = fatal.id,
-                                    content = content_digest(fatal.request.body)] {
-                       if (!crashed_ && running_.contains(number) && on_fatal) {
-                           on_fatal(id, content);
-                       }
-                   }));
+void fleet_worker::schedule_crash_by(const run &fatal) {
+    constexpr Duration kMinDelay = milliseconds(2);
+    constexpr Duration kMaxDelay = milliseconds(90);
+    process_.run_after(process_.random_duration(kMinDelay, kMaxDelay),
+                       lifetime_.guard([this, number = fatal.number, id = fatal.id,
+                                        content = content_digest(fatal.request.body)] {
+                           if (!crashed_ && running_.contains(number) && on_fatal) {
+                               on_fatal(id, content);
+                           }
+                       }));
 }
 
 bool fleet_worker::is_stream(const run &current) const {
@@ -162,7 +162,7 @@
     return route == nullptr ? 1 : soak::events_of(process_.options.plan, *route);
 }
 
-HttpHeaders fleet_worker::head_of(const run &current) const {
+HttpHeaders fleet_worker::response_headers(const run &current) const {
     return {{platform::kRequestId, current.id},
             {platform::kSignature, incarnation_ + "." + current.id},
             {platform::kServerLoad, std::to_string(running_.size()) + "," +
@@ -174,34 +174,34 @@
     const run_fate fate = fate_of_run(current->id);
     if (fate != run_fate::kCompletes) {
         const int status = fate == run_fate::kFails ? kFailedStatus : kImpossibleStatus;
-        current->answer->respond({status, head_of(*current), "no"});
+        current->answer->respond({status, response_headers(*current), "no"});
         end(current, run_outcome::kFailed);
         return;
     }
     if (!is_stream(*current)) {
-        if (current->breaks_before > 0) {
+        if (current->breaks_at_event > 0) {
             current->answer->abort();
             end(current, run_outcome::kBroken);
             return;
         }
-        current->answer->respond({200, head_of(*current), plain_body(current->id)});
+        current->answer->respond({200, response_headers(*current), plain_body(current->id)});
         end(current, run_outcome::kWhole);
         return;
     }
-    HttpHeaders head = head_of(*current);
+    HttpHeaders head = response_headers(*current);
     head.push_back({"Content-Type", "text/event-stream"});
     current->answer->start(200, head);
     const std::weak_ptr<run> weak = current;
     current->timer = process_.dispatcher.create_timer([this, weak] {
-        if (const run_ptr going_on = weak.lock()) {
-            send_event(going_on);
+        if (const run_ptr streaming = weak.lock()) {
+            send_event(streaming);
         }
     });
     send_event(current);
 }
 
 void fleet_worker::send_event(const run_ptr &current) {
-    if (current->breaks_before == current->next_event) {
+    if (current->breaks_at_event == current->next_event) {
         current->answer->abort();
         end(current, run_outcome::kBroken);
         return;
@@ -229,13 +229,13 @@
     ended.worker = incarnation_;
     ended.id = current->id;
     ended.outcome = outcome;
-    process_.note(ended);
-    // Its timer may be the one that calls now.
+    process_.add_record(ended);
+    // This may be running inside its timer callback, so the timer is freed later.
     process_.dispatcher.post([current] { current->timer.reset(); });
-    begin_next();
+    begin_queued();
 }
 
-void fleet_worker::begin_next() {
+void fleet_worker::begin_queued() {
     while (!queue_.empty() && running_.size() < service_.slots && !crashed_) {
         const run_ptr next = queue_.front();
         queue_.pop_front();
--- a/tests/soak/fleet/fleet_worker.h
+++ b/tests/soak/fleet/fleet_worker.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_FLEET_WORKER_H
 
 /** \file
- * An emulated worker: slots, a short queue, streams of events at a pace, and the faults that real
- * workers have. Notes each run as it begins and ends.
+ * An emulated worker: slots, a short queue, paced event streams, and the faults of real workers.
+ * Records the start and the end of each run.
  */
 
 #include <deque>
@@ -17,11 +17,11 @@
 
 namespace chalkshed::soak {
 
-/** Shares of 100 requests that meet each fault now. */
+/** Percentage of requests that currently hit each fault. */
 struct worker_faults {
     uint64_t broken = 0;
     uint64_t refused = 0;
-    /** Begun and answered seconds later, or never. */
+    /** Started, and answered seconds later or never. */
     uint64_t mute = 0;
 };
 
@@ -46,9 +46,9 @@
     WallTime started() const {
         return started_;
     }
-    /** Ends all runs and connections, as a process that dies. */
+    /** Ends all runs and connections, as in a process crash. */
     void crash();
-    /** Answers from now on ask their callers to close. */
+    /** Later answers ask their callers to close the connection. */
     void drain() {
         draining_ = true;
     }
@@ -60,7 +60,7 @@
     }
 
     worker_faults faults;
-    /** Called when the worker is to end by a request that it has begun. */
+    /** Called when a request that the worker has started is to crash it. */
     std::function<void(const std::string &id, const std::string &content)> on_fatal;
 
 private:
@@ -70,7 +70,7 @@
         std::string id;
         wire_answer_ptr answer;
         uint64_t next_event = 1;
-        uint64_t breaks_before = 0; // 0: it does not break
+        uint64_t breaks_at_event = 0; // 0: it does not break
         TimerPtr timer;
     };
     using run_ptr = std::shared_ptr<run>;
@@ -79,16 +79,16 @@
     void handle(HttpRequest request, wire_answer_ptr answer) override;
     void handle_malformed(const Address &peer, const std::string &head) override;
 
-    /** Why a request isn't run, before its body is looked at. */
+    /** The response if the request is refused; decided from the head alone. */
     std::optional<HttpResponse> refusal(const HttpRequest &head);
-    HttpResponse not_run(int status, const std::string &id) const;
+    HttpResponse not_run_response(int status, const std::string &id) const;
     void begin(const run_ptr &added);
-    void end_soon_by(const run &fatal);
-    void begin_next();
+    void schedule_crash_by(const run &fatal);
+    void begin_queued();
     void begin_answer(const run_ptr &current);
     bool is_stream(const run &current) const;
     uint64_t events_of(const run &current) const;
-    HttpHeaders head_of(const run &current) const;
+    HttpHeaders response_headers(const run &current) const;
     void send_event(const run_ptr &current);
     void end(const run_ptr &current, run_outcome outcome);
 
--- a/tests/soak/fleet/indexed_rows.cc
+++ b/tests/soak/fleet/indexed_rows.cc
@@ -27,8 +27,8 @@
     for (auto row = rows_.lower_bound({range.table, range.partition, range.first_key});
          row != rows_.end(); ++row) {
         const StoredRowKey &key = row->first;
-        const bool behind = !range.end_key.empty() && key.key >= range.end_key;
-        if (key.table != range.table || key.partition != range.partition || behind) {
+        const bool past_end = !range.end_key.empty() && key.key >= range.end_key;
+        if (key.table != range.table || key.partition != range.partition || past_end) {
             break;
         }
         if (page.rows.size() == range.limit) {
@@ -40,16 +40,16 @@
     return page;
 }
 
-bool indexed_rows::holds(const StoreTransaction &transaction, row_commit &result) const {
-    bool all_hold = true;
+bool indexed_rows::check_conditions(const StoreTransaction &transaction, row_commit &result) const {
+    bool all_match = true;
     for (const StoreCondition &condition : transaction.conditions) {
         const auto found = rows_.find(condition.key);
         const StoreVersion current = found == rows_.end() ? 0 : found->second->version;
         result.current.push_back(found == rows_.end() ? encode(condition.key, 0, std::nullopt)
                                                       : found->second);
-        all_hold = all_hold && current == condition.version;
+        all_match = all_match && current == condition.version;
     }
-    return all_hold;
+    return all_match;
 }
 
 void indexed_rows::write(const StoreWrite &write, MonotonicTime now) {
@@ -59,14 +59,14 @@
     } else if (rows_.erase(write.key) == 0) {
         return;
     }
-    history &of = histories_[write.key.table];
-    of.changes.push_back({row, now});
-    of.newest = version_;
+    history &table_history = histories_[write.key.table];
+    table_history.changes.push_back({row, now});
+    table_history.newest = version_;
 }
 
 row_commit indexed_rows::commit(const StoreTransaction &transaction, MonotonicTime now) {
     row_commit result;
-    if (!holds(transaction, result)) {
+    if (!check_conditions(transaction, result)) {
         return result;
     }
     result.committed = true;
@@ -77,9 +77,9 @@
     return result;
 }
 
-bool indexed_rows::remembers(const std::string &table, StoreVersion since) const {
+bool indexed_rows::has_history_since(const std::string &table, StoreVersion since) const {
     const auto found = histories_.find(table);
-    return found == histories_.end() || since >= found->second.begins;
+    return found == histories_.end() || since >= found->second.trimmed_version;
 }
 
 std::vector<encoded_row_ptr> indexed_rows::changes(const std::string &table,
@@ -99,16 +99,16 @@
     return rows;
 }
 
-StoreVersion indexed_rows::newest(const std::string &table) const {
+StoreVersion indexed_rows::newest_version(const std::string &table) const {
     const auto found = histories_.find(table);
     return found == histories_.end() ? 0 : found->second.newest;
 }
 
-void indexed_rows::forget_before(MonotonicTime time) {
-    for (auto &[table, of] : histories_) {
-        while (!of.changes.empty() && of.changes.front().made < time) {
-            of.begins = of.changes.front().row->version;
-            of.changes.pop_front();
+void indexed_rows::trim_history_before(MonotonicTime time) {
+    for (auto &[table, table_history] : histories_) {
+        while (!table_history.changes.empty() && table_history.changes.front().made < time) {
+            table_history.trimmed_version = table_history.changes.front().row->version;
+            table_history.changes.pop_front();
         }
     }
 }
--- a/tests/soak/fleet/indexed_rows.h
+++ b/tests/soak/fleet/indexed_rows.h
@@ -2,7 +2,7 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_INDEXED_ROWS_H
 
 /** \file
- * The rows of the store stand-in with the history of each table, indexed by version: a follower
+ * The rows of the store emulator with the history of each table, indexed by version: a watch call
  * costs a binary search in the history of its own table, whatever the length of that history.
  */
 
@@ -17,7 +17,7 @@
 
 namespace chalkshed::soak {
 
-/** A row as it goes over the wire; encoded once, because many followers are sent the same one. */
+/** A row in its wire encoding; encoded once, because many watchers receive the same row. */
 struct encoded_row {
     StoreVersion version = 0;
     std::string json;
@@ -31,7 +31,7 @@
 
 struct row_commit {
     bool committed = false;
-    /** Not committed: the rows of the conditions as they stand. */
+    /** If not committed: the current rows of the conditions. */
     std::vector<encoded_row_ptr> current;
 };
 
@@ -42,14 +42,14 @@
     }
     row_range_page read(const RangeRead &range) const;
     row_commit commit(const StoreTransaction &transaction, MonotonicTime now);
-    /** Whether the history behind `since` still stands. */
-    bool remembers(const std::string &table, StoreVersion since) const;
-    /** The changes behind `since`, in order; meaningless unless it is remembered. */
+    /** Whether the history after `since` is complete. */
+    bool has_history_since(const std::string &table, StoreVersion since) const;
+    /** The changes after `since`, in order; valid only if has_history_since() holds. */
     std::vector<encoded_row_ptr> changes(const std::string &table, StoreVersion since) const;
     /** The version of the newest change of the table. */
-    StoreVersion newest(const std::string &table) const;
-    /** Forgets the changes made before `time`. */
-    void forget_before(MonotonicTime time);
+    StoreVersion newest_version(const std::string &table) const;
+    /** Discards the history of changes made before `time`. */
+    void trim_history_before(MonotonicTime time);
 
 private:
     struct change {
@@ -58,11 +58,11 @@
     };
     struct history {
         std::deque<change> changes;
-        StoreVersion begins = 0;
+        StoreVersion trimmed_version = 0;
         StoreVersion newest = 0;
     };
 
-    bool holds(const StoreTransaction &transaction, row_commit &result) const;
+    bool check_conditions(const StoreTransaction &transaction, row_commit &result) const;
     void write(const StoreWrite &write, MonotonicTime now);
 
     std::map<StoredRowKey, encoded_row_ptr> rows_;
--- a/tests/soak/fleet/job_load.cc
+++ b/tests/soak/fleet/job_load.cc
@@ -17,18 +17,18 @@
 using std::chrono::seconds;
 
 constexpr const char *kHost = "fleet.example";
-constexpr int kMostEndTries = 40;
-constexpr uint64_t kMostAttempts = 8;
-constexpr Duration kBetweenAttempts = milliseconds(300);
-constexpr Duration kBetweenReads = milliseconds(500);
-/** After one that has all results, or was ended. */
-constexpr Duration kBetweenLooks = seconds(7);
-constexpr Duration kCallTime = seconds(5);
-/** Jobs ended in the middle of their work, of 100. */
+constexpr int kMaxEndTries = 40;
+constexpr uint64_t kMaxAttempts = 8;
+constexpr Duration kRetryInterval = milliseconds(300);
+constexpr Duration kReadInterval = milliseconds(500);
+/** For jobs that have all results or were ended. */
+constexpr Duration kIdleReadInterval = seconds(7);
+constexpr Duration kCallTimeout = seconds(5);
+/** Percentage of jobs that are ended while they run. */
 constexpr uint64_t kEndLaterPercent = 10;
-/** Many jobs at once reach the limit of a route's queue now and then. */
-constexpr Duration kBetweenBursts = seconds(12);
-constexpr int kBurst = 12;
+/** Bursts of jobs occasionally reach the limit of a route's queue. */
+constexpr Duration kBurstInterval = seconds(12);
+constexpr int kJobsPerBurst = 12;
 
 std::string node_name(uint64_t node) {
     return "node-" + std::to_string(node);
@@ -41,42 +41,43 @@
 void job_load::begin() {
     for (const route_options &route : process_.options.plan.routes) {
         if (route.kind == route_kind::kBatch && route.per_second > 0) {
-            arrive(route);
-            burst(route);
+            schedule_arrival(route);
+            schedule_burst(route);
         }
     }
 }
 
 uint64_t job_load::unfinished() const {
     return static_cast<uint64_t>(std::count_if(jobs_.begin(), jobs_.end(), [](const auto &entry) {
-        const job &of = *entry.second;
-        return of.accepted && !of.ending && of.listed < of.items.size();
+        const job &target = *entry.second;
+        return target.accepted && !target.ending && target.listed < target.items.size();
     }));
 }
 
-void job_load::arrive(const route_options &route) {
+void job_load::schedule_arrival(const route_options &route) {
     if (ended_) {
         return;
     }
     const double rate =
         route.per_second / static_cast<double>(process_.options.plan.callers.processes);
     const double wait = -std::log(1 - process_.random.unit()) / rate;
-    process_.later(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait)),
-                   [this, &route] {
-                       submit(route);
-                       arrive(route);
-                   });
+    process_.run_after(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait)),
+                       [this, &route] {
+                           submit(route);
+                           schedule_arrival(route);
+                       });
 }
 
-void job_load::burst(const route_options &route) {
-    process_.later(process_.between(kBetweenBursts / 2, kBetweenBursts * 3 / 2), [this, &route] {
-        for (int count = 0; count < kBurst && !ended_; ++count) {
-            submit(route);
-        }
-        if (!ended_) {
-            burst(route);
-        }
-    });
+void job_load::schedule_burst(const route_options &route) {
+    process_.run_after(process_.random_duration(kBurstInterval / 2, kBurstInterval * 3 / 2),
+                       [this, &route] {
+                           for (int count = 0; count < kJobsPerBurst && !ended_; ++count) {
+                               submit(route);
+                           }
+                           if (!ended_) {
+                               schedule_burst(route);
+                           }
+                       });
 }
 
 job_load::job_ptr job_load::prepare(const route_options &route) {
@@ -119,29 +120,30 @@
     const caller_options &callers = process_.options.plan.callers;
     const job_ptr added = prepare(route);
     jobs_.emplace(added->id, added);
-    const uint64_t node = nodes_.any();
+    const uint64_t node = nodes_.pick();
     send(added, node);
     if (process_.chance(callers.several_nodes_percent)) {
         for (uint64_t count = 1 + process_.random.below(2); count > 0; --count) {
-            send(added, nodes_.other_than(node));
+            send(added, nodes_.pick_other_than(node));
         }
     }
     if (process_.chance(callers.again_while_open_percent)) {
-        process_.later(process_.between(milliseconds(1), milliseconds(100)), [this, added, node] {
-            if (added->open_attempts > 0) {
-                send(added, nodes_.other_than(node));
-            }
-        });
+        process_.run_after(process_.random_duration(milliseconds(1), milliseconds(100)),
+                           [this, added, node] {
+                               if (added->open_attempts > 0) {
+                                   send(added, nodes_.pick_other_than(node));
+                               }
+                           });
     }
-    plan_end(added);
+    schedule_unseen_end(added);
 }
 
-/** Ends that wait for no 202. */
-void job_load::plan_end(const job_ptr &of) {
+/** Ends some jobs without waiting for their 202. */
+void job_load::schedule_unseen_end(const job_ptr &target) {
     const caller_options &callers = process_.options.plan.callers;
     if (process_.chance(callers.end_unseen_percent)) {
-        process_.later(process_.between(milliseconds(0), callers.end_soon),
-                       [this, of] { send_end(of, nodes_.any(), 0); });
+        process_.run_after(process_.random_duration(milliseconds(0), callers.end_soon),
+                           [this, target] { send_end(target, nodes_.pick(), 0); });
     }
 }
 
@@ -160,160 +162,162 @@
     const auto connection =
         std::make_shared<wire_client>(process_.dispatcher, process_.options.layout.node(node));
     const auto ended = std::make_shared<bool>(false);
-    // The observer keeps the connection until the answer has ended.
+    // The observer keeps the connection alive until the answer has ended.
     connection->send(encode_request(request, kHost, 0),
                      [connection, ended, handler](const call_result &result) mutable {
                          if (!std::exchange(*ended, true)) {
                              handler(result);
                          }
                      });
-    process_.later(limit, [weak = std::weak_ptr<wire_client>(connection), ended, handler] {
+    process_.run_after(limit, [weak = std::weak_ptr<wire_client>(connection), ended, handler] {
         const wire_client_ptr late = weak.lock();
         if (late && !std::exchange(*ended, true)) {
-            late->leave();
+            late->disconnect();
             handler({});
         }
     });
 }
 
-void job_load::send(const job_ptr &of, uint64_t node) {
+void job_load::send(const job_ptr &target, uint64_t node) {
     job_send entry;
     entry.at = process_.now();
-    entry.job = of->id;
-    entry.attempt = ++of->attempts;
+    entry.job = target->id;
+    entry.attempt = ++target->attempts;
     entry.node = node_name(node);
-    entry.items = of->items;
-    process_.note(entry);
-    ++of->open_attempts;
-    HttpRequest request = message("POST", "/" + of->route->name + "/" + of->id);
-    request.headers.front().value = of->id;
+    entry.items = target->items;
+    process_.add_record(entry);
+    ++target->open_attempts;
+    HttpRequest request = message("POST", "/" + target->route->name + "/" + target->id);
+    request.headers.front().value = target->id;
     request.headers.push_back({"Content-Type", "application/json"});
-    request.body = of->content;
+    request.body = target->content;
     const caller_options &callers = process_.options.plan.callers;
-    const bool leaves = process_.chance(callers.leave_percent);
+    const bool disconnects = process_.chance(callers.leave_percent);
     const Duration limit =
-        leaves ? process_.between(milliseconds(0), milliseconds(100)) : kCallTime;
+        disconnects ? process_.random_duration(milliseconds(0), milliseconds(100)) : kCallTimeout;
     call(node, request, limit,
-         [this, of, attempt = entry.attempt, node](const call_result &result) {
-             handle_answer(of, attempt, node, result.whole ? result.status : 0);
+         [this, target, attempt = entry.attempt, node](const call_result &result) {
+             handle_answer(target, attempt, node, result.whole ? result.status : 0);
          });
 }
 
-void job_load::handle_answer(const job_ptr &of, uint64_t attempt, uint64_t node, int status) {
-    --of->open_attempts;
+void job_load::handle_answer(const job_ptr &target, uint64_t attempt, uint64_t node, int status) {
+    --target->open_attempts;
     job_answer entry;
     entry.at = process_.now();
-    entry.job = of->id;
+    entry.job = target->id;
     entry.attempt = attempt;
     entry.node = node_name(node);
     entry.status = status;
-    process_.note(entry);
+    process_.add_record(entry);
     if (status == 202) {
-        handle_acceptance(of);
-    } else if (!of->accepted && !of->ending) {
-        send_again(of, node);
+        handle_acceptance(target);
+    } else if (!target->accepted && !target->ending) {
+        retry_send(target, node);
     }
 }
 
-void job_load::send_again(const job_ptr &of, uint64_t node) {
-    process_.later(kBetweenAttempts, [this, of, node] {
-        if (!of->accepted && !of->ending && of->open_attempts == 0 &&
-            of->attempts < kMostAttempts) {
-            send(of, nodes_.other_than(node));
+void job_load::retry_send(const job_ptr &target, uint64_t node) {
+    process_.run_after(kRetryInterval, [this, target, node] {
+        if (!target->accepted && !target->ending && target->open_attempts == 0 &&
+            target->attempts < kMaxAttempts) {
+            send(target, nodes_.pick_other_than(node));
         }
     });
 }
 
-void job_load::handle_acceptance(const job_ptr &of) {
-    if (std::exchange(of->accepted, true)) {
+void job_load::handle_acceptance(const job_ptr &target) {
+    if (std::exchange(target->accepted, true)) {
         return;
     }
     const caller_options &callers = process_.options.plan.callers;
     const bool soon = process_.chance(callers.end_soon_percent);
     if (soon || process_.chance(kEndLaterPercent)) {
-        const Duration wait = soon ? process_.between(milliseconds(0), callers.end_soon)
-                                   : process_.between(seconds(1), seconds(8));
-        process_.later(wait, [this, of] {
-            if (!of->ending) {
-                send_end(of, nodes_.any(), 0);
+        const Duration wait = soon ? process_.random_duration(milliseconds(0), callers.end_soon)
+                                   : process_.random_duration(seconds(1), seconds(8));
+        process_.run_after(wait, [this, target] {
+            if (!target->ending) {
+                send_end(target, nodes_.pick(), 0);
             }
         });
     }
-    if (!std::exchange(of->read, true)) {
-        read(of);
+    if (!std::exchange(target->read, true)) {
+        read(target);
     }
 }
 
-void job_load::send_end(const job_ptr &of, uint64_t node, int tries) {
-    of->ending = true;
+void job_load::send_end(const job_ptr &target, uint64_t node, int tries) {
+    target->ending = true;
     end_send entry;
     entry.at = process_.now();
-    entry.job = of->id;
+    entry.job = target->id;
     entry.node = node_name(node);
-    process_.note(entry);
-    call(node, message("DELETE", "/lots/" + of->id), kCallTime,
-         [this, of, node, tries](const call_result &result) {
-             handle_end(of, node, tries, result.status);
+    process_.add_record(entry);
+    call(node, message("DELETE", "/lots/" + target->id), kCallTimeout,
+         [this, target, node, tries](const call_result &result) {
+             handle_end(target, node, tries, result.status);
          });
     if (tries == 0 && process_.chance(process_.options.plan.callers.end_twice_percent)) {
-        send_end(of, nodes_.other_than(node), 1);
+        send_end(target, nodes_.pick_other_than(node), 1);
     }
 }
 
-void job_load::handle_end(const job_ptr &of, uint64_t node, int tries, int status) {
+void job_load::handle_end(const job_ptr &target, uint64_t node, int tries, int status) {
     end_answer entry;
     entry.at = process_.now();
-    entry.job = of->id;
+    entry.job = target->id;
     entry.node = node_name(node);
     entry.status = status;
-    process_.note(entry);
+    process_.add_record(entry);
     if (status != 200) {
-        if (!of->end_acknowledged && tries < kMostEndTries) {
-            process_.later(kBetweenAttempts, [this, of, node, tries] {
-                send_end(of, nodes_.other_than(node), tries + 1);
+        if (!target->end_acknowledged && tries < kMaxEndTries) {
+            process_.run_after(kRetryInterval, [this, target, node, tries] {
+                send_end(target, nodes_.pick_other_than(node), tries + 1);
             });
         }
         return;
     }
-    if (!std::exchange(of->end_acknowledged, true) &&
+    if (!std::exchange(target->end_acknowledged, true) &&
         process_.chance(process_.options.plan.callers.again_after_end_percent)) {
-        process_.later(process_.between(milliseconds(0), seconds(5)),
-                       [this, of] { send(of, nodes_.any()); });
+        process_.run_after(process_.random_duration(milliseconds(0), seconds(5)),
+                           [this, target] { send(target, nodes_.pick()); });
     }
 }
 
-void job_load::read(const job_ptr &of) {
-    const uint64_t from = process_.chance(20) ? process_.random.below(of->listed + 1) : of->listed;
-    HttpRequest request = message("GET", "/lots/" + of->id);
+void job_load::read(const job_ptr &target) {
+    const uint64_t from =
+        process_.chance(20) ? process_.random.below(target->listed + 1) : target->listed;
+    HttpRequest request = message("GET", "/lots/" + target->id);
     request.query = "since_rev=" + std::to_string(from);
-    call(nodes_.any(), request, kCallTime, [this, of, from](const call_result &result) {
+    call(nodes_.pick(), request, kCallTimeout, [this, target, from](const call_result &result) {
         if (result.whole && result.status == 200) {
-            note_page(of, from, result);
+            record_page(target, from, result);
         }
-        const bool done = of->ending || of->listed == of->items.size();
-        process_.later(done ? kBetweenLooks : kBetweenReads, [this, of] { read(of); });
+        const bool done = target->ending || target->listed == target->items.size();
+        process_.run_after(done ? kIdleReadInterval : kReadInterval,
+                           [this, target] { read(target); });
     });
 }
 
-void job_load::note_page(const job_ptr &of, uint64_t from, const call_result &result) {
+void job_load::record_page(const job_ptr &target, uint64_t from, const call_result &result) {
     const json page = json::parse(result.body, nullptr, false);
     if (!page.is_object() || !page.contains("results")) {
         return;
     }
-    const uint64_t events = events_of(process_.options.plan, *of->route);
+    const uint64_t events = events_of(process_.options.plan, *target->route);
     uint64_t position = from;
     for (const json &result_fields : page.at("results")) {
         listed_item entry;
         entry.at = process_.now();
-        entry.job = of->id;
+        entry.job = target->id;
         entry.position = position++;
         entry.item = result_fields.at("id");
         entry.completed = result_fields.at("state") == "completed";
         entry.text_ok =
             entry.completed && result_fields.at("message") == whole_text(entry.item, events);
-        process_.note(entry);
+        process_.add_record(entry);
     }
-    of->listed = std::max(of->listed, position);
+    target->listed = std::max(target->listed, position);
 }
 
 } // namespace chalkshed::soak
--- a/tests/soak/fleet/job_load.h
+++ b/tests/soak/fleet/job_load.h
@@ -3,7 +3,8 @@
 
 /** \file
  * The jobs of one caller process: sent to one node or to several at once, again while an earlier
- * send is open and after a refusal; ended soon after their 202, without one, or at two nodes; read.
+ * send is open and after a refusal; ended soon after their 202, without one, or at two nodes. Their
+ * results are read.
  */
 
 #include <map>
@@ -20,11 +21,11 @@
 public:
     job_load(role_process &process, ready_nodes &nodes);
     void begin();
-    /** No new jobs; those that were sent go on. */
+    /** Stops new jobs; those already sent continue. */
     void end() {
         ended_ = true;
     }
-    /** Accepted jobs that nobody ended and whose results have not all been read. */
+    /** Accepted jobs that were not ended and whose results have not all been read. */
     uint64_t unfinished() const;
 
 private:
@@ -44,20 +45,20 @@
     using job_ptr = std::shared_ptr<job>;
     using answer_handler = std::function<void(const call_result &)>;
 
-    void arrive(const route_options &route);
-    void burst(const route_options &route);
+    void schedule_arrival(const route_options &route);
+    void schedule_burst(const route_options &route);
     void submit(const route_options &route);
     job_ptr prepare(const route_options &route);
-    void plan_end(const job_ptr &of);
-    void send(const job_ptr &of, uint64_t node);
-    void handle_answer(const job_ptr &of, uint64_t attempt, uint64_t node, int status);
-    void send_again(const job_ptr &of, uint64_t node);
-    void handle_acceptance(const job_ptr &of);
-    void send_end(const job_ptr &of, uint64_t node, int tries);
-    void handle_end(const job_ptr &of, uint64_t node, int tries, int status);
-    void read(const job_ptr &of);
-    void note_page(const job_ptr &of, uint64_t from, const call_result &result);
-    /** Calls a node on a connection of its own. */
+    void schedule_unseen_end(const job_ptr &target);
+    void send(const job_ptr &target, uint64_t node);
+    void handle_answer(const job_ptr &target, uint64_t attempt, uint64_t node, int status);
+    void retry_send(const job_ptr &target, uint64_t node);
+    void handle_acceptance(const job_ptr &target);
+    void send_end(const job_ptr &target, uint64_t node, int tries);
+    void handle_end(const job_ptr &target, uint64_t node, int tries, int status);
+    void read(const job_ptr &target);
+    void record_page(const job_ptr &target, uint64_t from, const call_result &result);
+    /** Calls a node on a new connection. */
     void call(uint64_t node, const HttpRequest &request, Duration limit,
               const answer_handler &handler);
     HttpRequest message(const std::string &method, const std::string &path);
--- a/tests/soak/fleet/lag_meter.h
+++ b/tests/soak/fleet/lag_meter.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_LAG_METER_H
 
 /** \file
- * How late the event loop of a process runs. What a loaded rig sees late must not be put down to
- * the nodes, so that each process of the rig measures its own loop.
+ * Measures how late the event loop of a process runs. Delays of an overloaded harness must not be
+ * attributed to the nodes, so each harness process measures its own loop.
  */
 
 #include <algorithm>
@@ -16,9 +16,10 @@
 
 class lag_meter {
 public:
-    /** \param tell Hears how late each tick came. */
-    lag_meter(Dispatcher &dispatcher, TimeSource &time_source, std::function<void(Duration)> tell)
-        : time_source_(time_source), tell_(std::move(tell)),
+    /** \param on_sample Receives the lateness of each tick. */
+    lag_meter(Dispatcher &dispatcher, TimeSource &time_source,
+              std::function<void(Duration)> on_sample)
+        : time_source_(time_source), on_sample_(std::move(on_sample)),
           timer_(dispatcher.create_timer([this] { tick(); })) {
         arm();
     }
@@ -32,12 +33,12 @@
     }
     void tick() {
         const Duration late = time_source_.monotonic_now() - due_;
-        tell_(std::max(late, Duration(0)));
+        on_sample_(std::max(late, Duration(0)));
         arm();
     }
 
     TimeSource &time_source_;
-    std::function<void(Duration)> tell_;
+    std::function<void(Duration)> on_sample_;
     MonotonicTime due_{};
     TimerPtr timer_;
 };
--- a/tests/soak/fleet/online_load.cc
+++ b/tests/soak/fleet/online_load.cc
@@ -15,33 +15,33 @@
 using std::chrono::seconds;
 
 constexpr const char *kHost = "fleet.example";
-constexpr int kMostTries = 2;
-constexpr uint64_t kAheadPercent = 2;
-/** Callers wait this much longer than they said. */
-constexpr Duration kPatience = milliseconds(500);
+constexpr int kMaxTries = 2;
+constexpr uint64_t kPipelinedPercent = 2;
+/** Callers wait this much longer than the deadline that they sent. */
+constexpr Duration kExtraWait = milliseconds(500);
 
-/** The load comes in steps around its mean, because a fleet that is calm when it is even may not be
- * when the load jumps: 3.8 s of 0.377 and 2.8 s of 1.84 times the mean. */
-constexpr Duration kStep = milliseconds(6600);
-constexpr Duration kLowPart = milliseconds(3800);
-constexpr double kLow = 0.377;
-constexpr double kHigh = 1.84;
+/** The load alternates in steps around its mean, because a fleet that is stable under even load may
+ * not be when the load jumps: 3.8 s of 0.377 and 2.8 s of 1.84 times the mean. */
+constexpr Duration kLoadPeriod = milliseconds(6600);
+constexpr Duration kLowDuration = milliseconds(3800);
+constexpr double kLowFactor = 0.377;
+constexpr double kHighFactor = 1.84;
 
 Duration exponential(RandomGenerator &random, double per_second) {
     const double wait = -std::log(1 - random.unit()) / per_second;
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait));
 }
 
-bool says_not_run(int status) {
+bool is_not_run_status(int status) {
     return status == 429 || status == 503 || status == 408 || status == 421;
 }
 
-std::string prompt_of(RandomGenerator &random) {
-    constexpr uint64_t kShared = 16;
-    constexpr uint64_t kOwn = 1655;
-    return "a" + std::to_string(random.below(kShared)) + ":100,b" +
-           std::to_string(random.below(kOwn)) + ":100,c" + std::to_string(random.below(kOwn)) +
-           ":250";
+std::string random_prompt(RandomGenerator &random) {
+    constexpr uint64_t kSharedPrompts = 16;
+    constexpr uint64_t kOtherPrompts = 1655;
+    return "a" + std::to_string(random.below(kSharedPrompts)) + ":100,b" +
+           std::to_string(random.below(kOtherPrompts)) + ":100,c" +
+           std::to_string(random.below(kOtherPrompts)) + ":250";
 }
 
 } // namespace
@@ -70,18 +70,18 @@
     : process_(process), nodes_(nodes) {}
 
 void online_load::begin() {
-    began_ = process_.now();
+    started_at_ = process_.now();
     for (const route_options &route : process_.options.plan.routes) {
         if (route.kind != route_kind::kBatch && route.per_second > 0) {
-            arrive(route);
+            schedule_arrival(route);
         }
     }
     for (uint64_t number = 0; number < process_.options.plan.callers.fatal_contents; ++number) {
-        repeat_fatal(number);
+        schedule_fatal(number);
     }
 }
 
-void online_load::repeat_fatal(uint64_t number) {
+void online_load::schedule_fatal(uint64_t number) {
     constexpr double kSecondsPerMinute = 60;
     const double rate = process_.options.plan.callers.fatal_per_minute / kSecondsPerMinute;
     std::vector<const route_options *> routes;
@@ -93,36 +93,36 @@
     if (ended_ || routes.empty() || rate <= 0) {
         return;
     }
-    process_.later(exponential(process_.random, rate),
-                   [this, number, route = routes[number % routes.size()]] {
-                       send_fatal(*route, number);
-                       repeat_fatal(number);
-                   });
+    process_.run_after(exponential(process_.random, rate),
+                       [this, number, route = routes[number % routes.size()]] {
+                           send_fatal(*route, number);
+                           schedule_fatal(number);
+                       });
 }
 
 void online_load::send_fatal(const route_options &route, uint64_t number) {
-    const uint64_t node = nodes_.any();
-    const call_ptr fatal = prepare(route, node, kMostTries);
+    const uint64_t node = nodes_.pick();
+    const call_ptr fatal = prepare(route, node, kMaxTries);
     fatal->request.path = "/" + route.name + "/fatal-" + std::to_string(number);
     fatal->request.query.clear();
     fatal->request.body = fatal_body(process_.options.number, number);
     send(fatal, connection_to(node, false));
 }
 
-double online_load::factor_now() const {
-    const Duration within = (process_.now() - began_) % kStep;
-    return within < kLowPart ? kLow : kHigh;
+double online_load::load_factor() const {
+    const Duration within = (process_.now() - started_at_) % kLoadPeriod;
+    return within < kLowDuration ? kLowFactor : kHighFactor;
 }
 
-void online_load::arrive(const route_options &route) {
+void online_load::schedule_arrival(const route_options &route) {
     if (ended_) {
         return;
     }
     const auto processes = static_cast<double>(process_.options.plan.callers.processes);
-    const double rate = factor_now() * route.per_second / processes;
-    process_.later(exponential(process_.random, rate), [this, &route] {
-        submit(route, nodes_.any(), 0);
-        arrive(route);
+    const double rate = load_factor() * route.per_second / processes;
+    process_.run_after(exponential(process_.random, rate), [this, &route] {
+        submit(route, nodes_.pick(), 0);
+        schedule_arrival(route);
     });
 }
 
@@ -146,13 +146,13 @@
     if (route.kind == route_kind::kStreaming) {
         request.headers.push_back({"Chalkshed-Model", "m"});
         request.headers.push_back({platform::kTokenUsage, "450,200"});
-        request.headers.push_back({platform::kPromptPrefix, prompt_of(process_.random)});
+        request.headers.push_back({platform::kPromptPrefix, random_prompt(process_.random)});
     }
     return added;
 }
 
 wire_client_ptr online_load::connection_to(uint64_t node, bool kept) {
-    std::deque<wire_client_ptr> &idle = kept_[node];
+    std::deque<wire_client_ptr> &idle = idle_connections_[node];
     while (kept && !idle.empty()) {
         wire_client_ptr connection = idle.front();
         idle.pop_front();
@@ -169,10 +169,10 @@
     const call_ptr first = prepare(route, node, tries);
     first->kept = kept;
     send(first, connection);
-    if (kept && process_.chance(kAheadPercent)) {
-        // Sent before the answer to the first has come.
-        const call_ptr ahead = prepare(route, node, kMostTries);
-        send(ahead, connection);
+    if (kept && process_.chance(kPipelinedPercent)) {
+        // Sent before the answer to the first has arrived.
+        const call_ptr pipelined = prepare(route, node, kMaxTries);
+        send(pipelined, connection);
     }
 }
 
@@ -186,7 +186,7 @@
     entry.once = sent->route->kind == route_kind::kNonIdempotent ||
                  (sent->route->kind == route_kind::kStreaming && !sent->route->resumable);
     entry.kept = connection->exchanges() > 0 || !connection->idle();
-    process_.note(entry);
+    process_.add_record(entry);
     ++open_calls_;
     const size_t chunk =
         process_.chance(callers.chunked_percent) ? 1 + process_.random.below(20000) : 0;
@@ -194,28 +194,28 @@
     connection->send(encode_request(sent->request, kHost, chunk),
                      [this, sent](const call_result &result) { handle_answer(sent, result); });
     sent->request.body.clear();
-    leave_at_times(sent);
+    schedule_disconnect(sent);
 }
 
-void online_load::leave_at_times(const call_ptr &sent) {
+void online_load::schedule_disconnect(const call_ptr &sent) {
     const bool early = process_.chance(process_.options.plan.callers.leave_percent);
-    const Duration longest = sent->route->timeout + kPatience;
-    const Duration wait = early ? process_.between(milliseconds(0), seconds(1)) : longest;
-    process_.later(wait, [weak = std::weak_ptr<call>(sent)] {
-        const call_ptr leaving = weak.lock();
-        if (leaving && !leaving->ended) {
-            // Those that wait behind it on the connection break with it.
-            const wire_client_ptr connection = leaving->connection;
-            connection->leave();
+    const Duration longest = sent->route->timeout + kExtraWait;
+    const Duration wait = early ? process_.random_duration(milliseconds(0), seconds(1)) : longest;
+    process_.run_after(wait, [weak = std::weak_ptr<call>(sent)] {
+        const call_ptr disconnecting = weak.lock();
+        if (disconnecting && !disconnecting->ended) {
+            // Requests pipelined behind it on the connection end too.
+            const wire_client_ptr connection = disconnecting->connection;
+            connection->disconnect();
         }
     });
 }
 
-void online_load::note_left(const call &sent) {
+void online_load::record_disconnect(const call &sent) {
     caller_left entry;
     entry.at = process_.now();
     entry.id = sent.id;
-    process_.note(entry);
+    process_.add_record(entry);
 }
 
 bool online_load::matches(const call &sent, const call_result &result) const {
@@ -244,8 +244,8 @@
     }
     --open_calls_;
     const wire_client_ptr connection = std::move(sent->connection);
-    if (result.left) {
-        note_left(*sent);
+    if (result.disconnected) {
+        record_disconnect(*sent);
         return;
     }
     online_answer entry;
@@ -256,18 +256,18 @@
     entry.held = result.status == 503 &&
                  result.body.find("ended while they ran this request") != std::string::npos;
     entry.matches = matches(*sent, result);
-    process_.note(entry);
+    process_.add_record(entry);
     if (sent->kept && connection->open() && connection->idle()) {
-        kept_[sent->node].push_back(connection);
+        idle_connections_[sent->node].push_back(connection);
     }
-    come_again(*sent, result);
+    retry(*sent, result);
 }
 
-void online_load::come_again(const call &sent, const call_result &result) {
-    const bool refused = says_not_run(result.status);
+void online_load::retry(const call &sent, const call_result &result) {
+    const bool refused = is_not_run_status(result.status);
     const bool repeatable = sent.route->kind == route_kind::kIdempotent;
     const bool failed = result.status == 0 || result.status >= 500;
-    if (sent.tries + 1 >= kMostTries || !(refused || (repeatable && failed)) || ended_) {
+    if (sent.tries + 1 >= kMaxTries || !(refused || (repeatable && failed)) || ended_) {
         return;
     }
     double wait = 0;
@@ -275,10 +275,10 @@
         std::from_chars(after->data(), after->data() + after->size(), wait);
     }
     const auto pause = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait));
-    process_.later(std::min(pause, sent.route->timeout / 3),
-                   [this, route = sent.route, node = sent.node, tries = sent.tries + 1] {
-                       submit(*route, nodes_.other_than(node), tries);
-                   });
+    process_.run_after(std::min(pause, sent.route->timeout / 3),
+                       [this, route = sent.route, node = sent.node, tries = sent.tries + 1] {
+                           submit(*route, nodes_.pick_other_than(node), tries);
+                       });
 }
 
 } // namespace chalkshed::soak
--- a/tests/soak/fleet/online_load.h
+++ b/tests/soak/fleet/online_load.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_ONLINE_LOAD_H
 
 /** \file
- * The online requests of one caller process: kept and fresh connections, several requests on one,
- * some of them sent ahead, bodies of all sizes, callers that leave early and come again.
+ * The online requests of one caller process: reused and new connections, several requests on one,
+ * some of them pipelined, bodies of all sizes, callers that disconnect early and retry.
  */
 
 #include <deque>
@@ -19,7 +19,7 @@
 class online_load {
 public:
     online_load(role_process &process, ready_nodes &nodes);
-    /** The rates go up and down in steps around those of the routes. */
+    /** Starts the load; the rates alternate in steps around those of the routes. */
     void begin();
     void end() {
         ended_ = true;
@@ -32,32 +32,32 @@
     struct call;
     using call_ptr = std::shared_ptr<call>;
 
-    void arrive(const route_options &route);
-    /** Sends a content that ends its workers, again and again, to any node. */
-    void repeat_fatal(uint64_t number);
-    /** Asks with that body, under an id and a path as usual. */
+    void schedule_arrival(const route_options &route);
+    /** Repeatedly sends a body that crashes its workers to random nodes. */
+    void schedule_fatal(uint64_t number);
+    /** Sends one request with that body. */
     void send_fatal(const route_options &route, uint64_t number);
     void submit(const route_options &route, uint64_t node, int tries);
     call_ptr prepare(const route_options &route, uint64_t node, int tries);
     wire_client_ptr connection_to(uint64_t node, bool kept);
     void send(const call_ptr &sent, const wire_client_ptr &connection);
-    void leave_at_times(const call_ptr &sent);
-    void note_left(const call &sent);
+    void schedule_disconnect(const call_ptr &sent);
+    void record_disconnect(const call &sent);
     void handle_answer(const call_ptr &sent, const call_result &result);
     bool matches(const call &sent, const call_result &result) const;
-    void come_again(const call &sent, const call_result &result);
-    double factor_now() const;
+    void retry(const call &sent, const call_result &result);
+    double load_factor() const;
 
     role_process &process_;
     ready_nodes &nodes_;
-    std::map<uint64_t, std::deque<wire_client_ptr>> kept_; // by node
-    MonotonicTime began_{};
+    std::map<uint64_t, std::deque<wire_client_ptr>> idle_connections_; // by node
+    MonotonicTime started_at_{};
     uint64_t next_id_ = 0;
     uint64_t open_calls_ = 0;
     bool ended_ = false;
 };
 
-/** Bytes of a body: most are near the fewest, a few percent near the most. */
+/** Draws a body size: most are near the minimum, a few percent near the maximum. */
 uint64_t draw_length(RandomGenerator &random, const range &lengths);
 
 } // namespace chalkshed::soak
--- a/tests/soak/fleet/ready_nodes.h
+++ b/tests/soak/fleet/ready_nodes.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_READY_NODES_H
 
 /** \file
- * Which nodes get new connections: the platform asks each for its readiness every second and leaves
- * out those that missed twice. When under half are in, all are used.
+ * Selects the nodes for new connections. Like the platform, it probes the readiness of each node
+ * every second and excludes those that failed twice in a row. If under half remain, all are used.
  */
 
 #include <vector>
@@ -15,21 +15,21 @@
 class ready_nodes {
 public:
     explicit ready_nodes(role_process &process);
-    /** A node, by its number, that gets the next connection. */
-    uint64_t any();
-    /** Another one than `node`, where there is one. */
-    uint64_t other_than(uint64_t node);
-    /** Asks a further node from now on. */
+    /** The number of the node for the next connection. */
+    uint64_t pick();
+    /** A node other than `node`, if one is found in a few tries. */
+    uint64_t pick_other_than(uint64_t node);
+    /** Adds a node to those that are probed. */
     void add(uint64_t node);
 
 private:
     struct state {
         uint64_t node = 0;
-        int missed = 0;
+        int failed_probes = 0;
     };
 
-    void ask_all();
-    void ask(state &of);
+    void probe_all();
+    void probe(state &target);
 
     role_process &process_;
     std::vector<state> nodes_;
--- a/tests/soak/fleet/role_process.cc
+++ b/tests/soak/fleet/role_process.cc
@@ -23,20 +23,20 @@
       random(content_hash(options.role + std::to_string(options.number), options.seed)),
       client(dispatcher), records_(options.folder, options.role, options.number),
       flush_timer_(dispatcher.create_timer([this] { flush_regularly(); })),
-      control_(std::make_unique<HttpServer>(dispatcher, control, *this)) {
+      control_server_(std::make_unique<HttpServer>(dispatcher, control, *this)) {
     on_command("stop", [this](const nlohmann::json & /*fields*/) {
-        later(std::chrono::milliseconds(20), [this] { stop(); });
+        run_after(std::chrono::milliseconds(20), [this] { stop(); });
         return nlohmann::json::object();
     });
     on_command("measure", [this](const nlohmann::json & /*fields*/) {
-        measure();
+        start_lag_measurement();
         return nlohmann::json::object();
     });
     flush_timer_->enable(record_writer::kFlushInterval);
 }
 
 role_process::~role_process() {
-    note_lag();
+    record_lag();
 }
 
 void role_process::on_command(const std::string &name, command_handler handler) {
@@ -47,16 +47,16 @@
     dispatcher.run();
 }
 
-void role_process::measure() {
-    meter_ = std::make_unique<lag_meter>(dispatcher, time_source_,
-                                         [this](Duration late) { lags_.push_back(late); });
+void role_process::start_lag_measurement() {
+    lag_meter_ = std::make_unique<lag_meter>(dispatcher, time_source_,
+                                             [this](Duration late) { lags_.push_back(late); });
 }
 
 void role_process::stop() {
     dispatcher.stop();
 }
 
-void role_process::later(Duration delay, std::function<void()> function) {
+void role_process::run_after(Duration delay, std::function<void()> function) {
     call_after(dispatcher, delay, lifetime_.guard(std::move(function)));
 }
 
@@ -75,7 +75,7 @@
     flush_timer_->enable(record_writer::kFlushInterval);
 }
 
-void role_process::note_lag() {
+void role_process::record_lag() {
     std::sort(lags_.begin(), lags_.end());
     process_lag lag;
     lag.at = now();
@@ -84,7 +84,7 @@
     lag.p50 = quantile(lags_, 0.5);
     lag.p99 = quantile(lags_, 0.99);
     lag.most = quantile(lags_, 1);
-    note(lag);
+    add_record(lag);
 }
 
 void send_command(HttpClient &client, const Address &control, const std::string &name,
@@ -93,9 +93,9 @@
     request.method = "POST";
     request.path = "/" + name;
     request.body = fields.dump();
-    HttpCallOptions how;
-    how.pool = "control";
-    client.fetch(control, request, how, std::move(callback));
+    HttpCallOptions call_options;
+    call_options.pool = "control";
+    client.fetch(control, request, call_options, std::move(callback));
 }
 
 } // namespace chalkshed::soak
--- a/tests/soak/fleet/role_process.h
+++ b/tests/soak/fleet/role_process.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_ROLE_PROCESS_H
 
 /** \file
- * What each process of the rig has: a loop of its own whose lag it measures, a file of records, and
- * an address at which the coordinator tells it what to do.
+ * Common parts of each harness process: an event loop whose lag it measures, a file of records, and
+ * a control address at which it receives commands from the coordinator.
  */
 
 #include <functional>
@@ -37,29 +37,29 @@
 
 class role_process : public HttpHandler {
 public:
-    /** Carries out a command. \return What the caller is told. */
+    /** Executes a command. \return The response body. */
     using command_handler = std::function<nlohmann::json(const nlohmann::json &)>;
 
     role_process(role_options options, const Address &control);
     ~role_process() override;
 
-    /** \param handler of the commands that are posted to /NAME. */
+    /** \param handler Handles the commands that are posted to /NAME. */
     void on_command(const std::string &name, command_handler handler);
-    /** A command. */
+    /** Dispatches a command to its handler. */
     void handle(HttpRequest request, ResponseWriterPtr writer) override;
-    /** Until the command "stop". */
+    /** Runs the event loop until the command "stop" arrives. */
     void run();
     void stop();
-    /** From now on the lag of this process counts. */
-    void measure();
-    void note(const record &entry) {
+    /** Starts to measure the lag of this process. */
+    void start_lag_measurement();
+    void add_record(const record &entry) {
         records_.add(entry);
     }
     MonotonicTime now() const {
         return time_source_.monotonic_now();
     }
-    /** A length between both. */
-    Duration between(Duration shortest, Duration longest) {
+    /** A random duration in [shortest, longest]. */
+    Duration random_duration(Duration shortest, Duration longest) {
         const auto room = static_cast<uint64_t>((longest - shortest).count()) + 1;
         return shortest + Duration(random.below(room));
     }
@@ -67,7 +67,7 @@
         return random.below(100) < percent;
     }
     /** Runs `function` after `delay`. */
-    void later(Duration delay, std::function<void()> function);
+    void run_after(Duration delay, std::function<void()> function);
 
     role_options options;
     EventDispatcher dispatcher;
@@ -76,19 +76,19 @@
 
 private:
     void flush_regularly();
-    void note_lag();
+    void record_lag();
 
     SystemTimeSource time_source_;
     record_writer records_;
     std::map<std::string, command_handler> commands_;
     std::vector<Duration> lags_;
-    std::unique_ptr<lag_meter> meter_;
+    std::unique_ptr<lag_meter> lag_meter_;
     TimerPtr flush_timer_;
     Lifetime lifetime_;
-    std::unique_ptr<HttpServer> control_;
+    std::unique_ptr<HttpServer> control_server_;
 };
 
-/** Tells a process of the rig to do something. */
+/** Sends a command to a harness process. */
 void send_command(HttpClient &client, const Address &control, const std::string &name,
                   const nlohmann::json &fields, Callback<HttpResponse> callback);
 
--- a/tests/soak/fleet/source_address_preload.cc
+++ b/tests/soak/fleet/source_address_preload.cc
@@ -1,7 +1,7 @@
 /** \file
- * Preloaded into a node: its outgoing connections come from the node's own address, as on machines
- * of their own. Without it all of them come from 127.0.0.1, and neither could the store turn a
- * single node away nor a worker tell which node a request came from.
+ * Preloaded into a node: binds its outgoing connections to the node's own address, as on separate
+ * machines. Without it all of them come from 127.0.0.1, so that the store couldn't block a single
+ * node and a worker couldn't tell which node sent a request.
  */
 
 #include <arpa/inet.h>
@@ -22,8 +22,9 @@
     if (ip == nullptr || inet_pton(AF_INET, ip, &source.sin_addr) != 1) {
         return;
     }
-    // Where it fails, the connection goes out as without this library.
-    // The port is chosen with the destination known, so that ports don't run out.
+    // If binding fails, the connection uses the default source address.
+    // The port is chosen at connect time, when the destination is known, so that ports don't run
+    // out.
     const int enabled = 1;
     setsockopt(socket, IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, &enabled, sizeof(enabled));
     static_cast<void>(bind(socket, reinterpret_cast<const sockaddr *>(&source), sizeof(source)));
--- a/tests/soak/fleet/store_role.cc
+++ b/tests/soak/fleet/store_role.cc
@@ -9,15 +9,15 @@
 
 using nlohmann::json;
 
-store_troubles decode_troubles(const json &fields) {
-    store_troubles troubles;
-    troubles.status = fields.value("status", 0);
-    troubles.silent = fields.value("silent", false);
-    troubles.delay = std::chrono::milliseconds(fields.value("delay_ms", 0));
-    troubles.lost_percent = fields.value("lost_percent", 0U);
-    troubles.late = std::chrono::milliseconds(fields.value("late_ms", 0));
-    troubles.turned_away = fields.value("turned_away", std::set<std::string>());
-    return troubles;
+store_faults decode_faults(const json &fields) {
+    store_faults faults;
+    faults.status = fields.value("status", 0);
+    faults.silent = fields.value("silent", false);
+    faults.delay = std::chrono::milliseconds(fields.value("delay_ms", 0));
+    faults.lost_percent = fields.value("lost_percent", 0U);
+    faults.late = std::chrono::milliseconds(fields.value("late_ms", 0));
+    faults.blocked_ips = fields.value("turned_away", std::set<std::string>());
+    return faults;
 }
 
 } // namespace
@@ -37,7 +37,7 @@
         return json::object();
     });
     process.on_command("troubles", [&](const json &fields) {
-        store.set_troubles(decode_troubles(fields));
+        store.set_faults(decode_faults(fields));
         return json::object();
     });
     process.on_command("drop_history", [&](const json & /*fields*/) {
--- a/tests/soak/fleet/wire_client.cc
+++ b/tests/soak/fleet/wire_client.cc
@@ -17,7 +17,7 @@
 namespace chalkshed::soak {
 namespace {
 
-std::string in_chunks(const std::string &body, size_t chunk) {
+std::string encode_chunks(const std::string &body, size_t chunk) {
     std::string wire;
     for (size_t at = 0; at < body.size(); at += chunk) {
         const std::string_view piece = std::string_view(body).substr(at, chunk);
@@ -28,7 +28,7 @@
     return wire.append("0\r\n\r\n");
 }
 
-bool says_close(const HttpHeaders &headers) {
+bool has_connection_close(const HttpHeaders &headers) {
     const auto connection = find_header(headers, "Connection");
     return connection && (*connection == "close" || *connection == "Close");
 }
@@ -44,7 +44,7 @@
     }
     if (chunk > 0) {
         return wire.append("Transfer-Encoding: chunked\r\n\r\n")
-            .append(in_chunks(request.body, chunk));
+            .append(encode_chunks(request.body, chunk));
     }
     wire.append("Content-Length: ").append(std::to_string(request.body.size()));
     return wire.append("\r\n\r\n").append(request.body);
@@ -82,8 +82,8 @@
     });
 }
 
-void wire_client::leave() {
-    const auto kept = shared_from_this();
+void wire_client::disconnect() {
+    const auto keep_alive = shared_from_this();
     closed_ = true;
     bufferevent_disable(socket_, EV_READ | EV_WRITE);
     bufferevent_setcb(socket_, nullptr, nullptr, nullptr, nullptr);
@@ -92,14 +92,14 @@
         shutdown(socket, SHUT_RDWR);
     }
     for (call &each : calls_) {
-        each.result.left = true;
+        each.result.disconnected = true;
     }
     fail_all();
 }
 
 void wire_client::on_readable(bufferevent * /*socket*/, void *argument) {
     auto *self = static_cast<wire_client *>(argument);
-    const auto kept = self->shared_from_this();
+    const auto keep_alive = self->shared_from_this();
     self->read();
 }
 
@@ -109,13 +109,13 @@
         return;
     }
     if ((what & BEV_EVENT_WRITING) != 0) {
-        // The server reads no more of the request; its answer may still be on the way.
-        self->closes_ = true;
+        // The server stopped reading the request; its answer may still arrive.
+        self->server_closes_ = true;
         return;
     }
-    const auto kept = self->shared_from_this();
+    const auto keep_alive = self->shared_from_this();
     self->closed_ = true;
-    if (!self->calls_.empty() && self->reader_.may_end()) {
+    if (!self->calls_.empty() && self->reader_.eof_ends_message()) {
         self->calls_.front().result.body += self->reader_.take_body();
         self->end_call(true);
     }
@@ -133,7 +133,7 @@
             return;
         }
         if (next == wire_reader::progress::kHead) {
-            take_head();
+            handle_head();
         } else if (next == wire_reader::progress::kWhole) {
             end_call(true);
         } else {
@@ -142,11 +142,11 @@
         }
     }
     if (evbuffer_get_length(bufferevent_get_input(socket_)) > 0) {
-        closed_ = true; // bytes that nobody asked for
+        closed_ = true; // unsolicited bytes
     }
 }
 
-void wire_client::take_head() {
+void wire_client::handle_head() {
     constexpr size_t kStatusAt = sizeof("HTTP/1.1 ") - 1;
     call_result &result = calls_.front().result;
     const std::string &line = reader_.head().start_line;
@@ -154,7 +154,7 @@
         std::from_chars(line.data() + kStatusAt, line.data() + kStatusAt + 3, result.status);
     }
     result.headers = reader_.head().headers;
-    closes_ = closes_ || says_close(result.headers);
+    server_closes_ = server_closes_ || has_connection_close(result.headers);
 }
 
 void wire_client::end_call(bool whole) {
@@ -163,7 +163,7 @@
     calls_.pop_front();
     ended.result.whole = whole;
     ended.on_ended(std::move(ended.result));
-    if (closes_) {
+    if (server_closes_) {
         closed_ = true;
         fail_all();
     }
--- a/tests/soak/fleet/wire_client.h
+++ b/tests/soak/fleet/wire_client.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_WIRE_CLIENT_H
 
 /** \file
- * One connection of a caller. Sends bodies with a length or in chunks, several requests ahead, and
- * can leave at any moment.
+ * One connection of a caller. Sends bodies with a length or in chunks, pipelines requests, and can
+ * disconnect at any time.
  */
 
 #include <deque>
@@ -20,14 +20,14 @@
 
 namespace chalkshed::soak {
 
-/** What a caller has seen of the answer to one request. */
+/** The answer to one request, as far as the caller received it. */
 struct call_result {
-    int status = 0; // 0: no status came
+    int status = 0; // 0: no status received
     HttpHeaders headers;
     std::string body;
     bool whole = false;
-    /** The caller itself has closed the connection. */
-    bool left = false;
+    /** The caller itself closed the connection. */
+    bool disconnected = false;
 };
 
 /** The bytes of a request. \param chunk Size of the chunks of its body; 0: it has a length. */
@@ -42,14 +42,14 @@
     wire_client(const wire_client &) = delete;
     wire_client &operator=(const wire_client &) = delete;
 
-    /** Sends the bytes behind those of earlier calls, whose answers come first. The observer hears
-     * of the end of the answer or of the connection, once, and never inside this call. */
+    /** Sends the bytes after those of earlier calls, whose answers come first. The observer is
+     * called once, at the end of the answer or of the connection, and never inside this call. */
     void send(const std::string &wire, observer on_ended);
-    /** Closes; the observers hear so at once. */
-    void leave();
+    /** Closes the connection; the observers are called at once. */
+    void disconnect();
     /** Whether another request may be sent. */
     bool open() const {
-        return !closed_ && !closes_;
+        return !closed_ && !server_closes_;
     }
     bool idle() const {
         return calls_.empty();
@@ -71,7 +71,7 @@
     static void on_readable(bufferevent *socket, void *argument);
     static void on_event(bufferevent *socket, short what, void *argument);
     void read();
-    void take_head();
+    void handle_head();
     void end_call(bool whole);
     void fail_all();
 
@@ -82,7 +82,7 @@
     std::deque<call> calls_;
     uint64_t exchanges_ = 0;
     bool closed_ = false;
-    bool closes_ = false; // the server closes behind the answer under way
+    bool server_closes_ = false; // the server closes the connection after the current answer
 };
 using wire_client_ptr = std::shared_ptr<wire_client>;
 
--- a/tests/soak/fleet/wire_reader.cc
+++ b/tests/soak/fleet/wire_reader.cc
@@ -51,14 +51,14 @@
         if (!line) {
             return progress::kMore;
         }
-        const progress next = take_line(*line);
+        const progress next = handle_line(*line);
         if (next != progress::kMore) {
             return next;
         }
     }
 }
 
-wire_reader::progress wire_reader::take_line(const std::string &line) {
+wire_reader::progress wire_reader::handle_line(const std::string &line) {
     switch (state_) {
     case state::kStart:
         if (!line.empty()) {
@@ -121,16 +121,16 @@
 }
 
 wire_reader::progress wire_reader::read_bytes(evbuffer *input) {
-    const size_t there = evbuffer_get_length(input);
-    const size_t wanted =
-        state_ == state::kUntilClose ? there : std::min<size_t>(there, remaining_);
+    const size_t available = evbuffer_get_length(input);
+    const size_t count =
+        state_ == state::kUntilClose ? available : std::min<size_t>(available, remaining_);
     const size_t begin = body_.size();
-    body_.resize(begin + wanted);
-    evbuffer_remove(input, body_.data() + begin, wanted);
+    body_.resize(begin + count);
+    evbuffer_remove(input, body_.data() + begin, count);
     if (state_ == state::kUntilClose) {
         return progress::kMore;
     }
-    remaining_ -= wanted;
+    remaining_ -= count;
     if (remaining_ > 0) {
         return progress::kMore;
     }
--- a/tests/soak/fleet/wire_reader.h
+++ b/tests/soak/fleet/wire_reader.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_WIRE_READER_H
 
 /** \file
- * Reads HTTP/1.1 messages off a socket's buffer. The rig frames and parses with code of its own:
- * a fault in the framing of the product's client or server would hide if both ends had it.
+ * Reads HTTP/1.1 messages off a socket's buffer. The harness has its own framing and parsing
+ * code: a framing fault of the product's client or server would go unnoticed if both ends had it.
  */
 
 #include <cstdint>
@@ -25,21 +25,22 @@
 public:
     enum class progress { kMore, kHead, kWhole, kMalformed };
 
-    /** \param responses An answer without a length goes on to the end of the connection. */
+    /** \param responses Reads responses; one without a length extends to the end of the connection.
+     */
     explicit wire_reader(bool responses) : responses_(responses) {}
-    /** Takes from `input` up to the end of the head, or of the whole message. After kHead or kMore,
+    /** Consumes `input` up to the end of the head, or of the whole message. After kHead or kMore,
      * call again for what follows; after kWhole, the next message begins. */
     progress read(evbuffer *input);
-    /** Of the message under way, or just ended. */
+    /** Head of the current message, or of the one that just ended. */
     const wire_head &head() const {
         return head_;
     }
-    /** \return What of the body has arrived since the last call. */
+    /** \return The part of the body that has arrived since the last call. */
     std::string take_body() {
         return std::exchange(body_, {});
     }
-    /** Whether the end of the connection now ends the message as it should. */
-    bool may_end() const {
+    /** Whether the end of the connection is a valid end of the current message. */
+    bool eof_ends_message() const {
         return state_ == state::kUntilClose;
     }
     /** Whether no byte of the next message has been read. */
@@ -59,7 +60,7 @@
         kUntilClose
     };
 
-    progress take_line(const std::string &line);
+    progress handle_line(const std::string &line);
     progress begin_body();
     bool has_no_body() const;
     progress read_bytes(evbuffer *input);
--- a/tests/soak/fleet/wire_server.cc
+++ b/tests/soak/fleet/wire_server.cc
@@ -31,7 +31,7 @@
     return lines;
 }
 
-/** \return Nothing when the first line is no request. */
+/** \return Nothing when the start line is not a request line. */
 std::optional<HttpRequest> request_of(const wire_head &head, const Address &peer) {
     const size_t first = head.start_line.find(' ');
     const size_t last = head.start_line.rfind(' ');
@@ -88,13 +88,13 @@
     void abort() {
         close();
     }
-    void close_behind() {
-        closes_behind_ = true;
+    void close_after_answer() {
+        closes_after_answer_ = true;
     }
     void set_on_closed(std::function<void()> callback) {
         on_closed_ = std::move(callback);
     }
-    /** Without telling anybody. */
+    /** Closes without calling the on-closed callback. */
     void drop() {
         on_closed_ = nullptr;
         close();
@@ -103,26 +103,26 @@
 private:
     static void on_readable(bufferevent * /*socket*/, void *argument) {
         auto *self = static_cast<wire_connection *>(argument);
-        const auto kept = self->shared_from_this();
+        const auto keep_alive = self->shared_from_this();
         self->read();
     }
     static void on_written(bufferevent * /*socket*/, void *argument) {
         auto *self = static_cast<wire_connection *>(argument);
-        const auto kept = self->shared_from_this();
-        if (self->ends_when_written_) {
+        const auto keep_alive = self->shared_from_this();
+        if (self->closes_when_written_) {
             self->close();
         }
     }
     static void on_event(bufferevent * /*socket*/, short what, void *argument) {
         auto *self = static_cast<wire_connection *>(argument);
-        const auto kept = self->shared_from_this();
+        const auto keep_alive = self->shared_from_this();
         if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) {
             self->close();
         }
     }
 
     std::string closing_line() const {
-        return closes_behind_ ? "Connection: close\r\n" : "";
+        return closes_after_answer_ ? "Connection: close\r\n" : "";
     }
     void send(const std::string &bytes) {
         if (!closed_) {
@@ -140,9 +140,9 @@
             if (next == wire_reader::progress::kMalformed) {
                 refuse_malformed();
             } else if (next == wire_reader::progress::kHead) {
-                take_head();
+                handle_head();
             } else {
-                take_end();
+                handle_message_end();
             }
         }
     }
@@ -152,7 +152,7 @@
         close();
     }
 
-    void take_head() {
+    void handle_head() {
         body_.clear();
         request_ = request_of(reader_.head(), peer_);
         if (!request_) {
@@ -161,7 +161,7 @@
         }
         dropping_body_ = false;
         if (std::optional<HttpResponse> early = server_.handler_.answer_early(*request_)) {
-            closes_behind_ = find_header(early->headers, "Connection").has_value();
+            closes_after_answer_ = find_header(early->headers, "Connection").has_value();
             dropping_body_ = true;
             std::erase_if(early->headers,
                           [](const HttpHeader &header) { return header.name == "Connection"; });
@@ -169,10 +169,10 @@
         }
     }
 
-    void take_end() {
+    void handle_message_end() {
         body_ += reader_.take_body();
         if (std::exchange(dropping_body_, false)) {
-            return; // answered before
+            return; // already answered
         }
         request_->body = std::exchange(body_, {});
         answering_ = true;
@@ -183,8 +183,8 @@
     void end_answer() {
         on_closed_ = nullptr;
         answering_ = false;
-        if (closes_behind_) {
-            ends_when_written_ = true;
+        if (closes_after_answer_) {
+            closes_when_written_ = true;
             if (evbuffer_get_length(bufferevent_get_output(socket_)) == 0) {
                 close();
             }
@@ -192,7 +192,7 @@
         }
         server_.dispatcher_.post([weak = weak_from_this()] {
             if (const auto self = weak.lock()) {
-                self->read(); // a request may have come ahead
+                self->read(); // a pipelined request may be buffered
             }
         });
     }
@@ -202,12 +202,12 @@
             return;
         }
         bufferevent_disable(socket_, EV_READ | EV_WRITE);
-        const auto kept = shared_from_this();
+        const auto keep_alive = shared_from_this();
         if (const std::function<void()> callback = std::exchange(on_closed_, nullptr)) {
             callback();
         }
-        // Freed in a later turn: one of its own callbacks may be on the stack.
-        server_.dispatcher_.post([kept] {});
+        // Freed in a later loop iteration: one of its own callbacks may be on the stack.
+        server_.dispatcher_.post([keep_alive] {});
         server_.remove(this);
     }
 
@@ -220,8 +220,8 @@
     std::function<void()> on_closed_;
     bool answering_ = false;
     bool dropping_body_ = false;
-    bool closes_behind_ = false;
-    bool ends_when_written_ = false;
+    bool closes_after_answer_ = false;
+    bool closes_when_written_ = false;
     bool closed_ = false;
 };
 
@@ -258,9 +258,9 @@
     }
 }
 
-void wire_answer::close_behind() {
+void wire_answer::close_after_answer() {
     if (const auto connection = connection_.lock()) {
-        connection->close_behind();
+        connection->close_after_answer();
     }
 }
 
--- a/tests/soak/fleet/wire_server.h
+++ b/tests/soak/fleet/wire_server.h
@@ -3,7 +3,7 @@
 
 /** \file
  * The HTTP/1.1 server of the emulated workers. Unlike the product's, it can answer before it has
- * read the body, reset a connection and close one as the next request arrives.
+ * read the body, reset a connection, and close one while the next request arrives.
  */
 
 #include <functional>
@@ -23,7 +23,7 @@
 
 class wire_connection;
 
-/** The answer to one request. Inert once its connection is gone. */
+/** The answer to one request. Has no effect once its connection is closed. */
 class wire_answer {
 public:
     explicit wire_answer(std::weak_ptr<wire_connection> connection)
@@ -33,10 +33,10 @@
     void write(std::string_view chunk);
     void finish();
     void respond(const HttpResponse &response);
-    /** Closes the connection at once, with a reset where bytes of the caller are unread. */
+    /** Closes the connection at once, with a reset if bytes of the caller are unread. */
     void abort();
-    /** The connection closes behind the answer. Call it before the answer begins. */
-    void close_behind();
+    /** Closes the connection after the answer. Must be called before the answer starts. */
+    void close_after_answer();
     void set_on_closed(std::function<void()> callback);
 
 private:
@@ -48,10 +48,10 @@
 public:
     virtual ~wire_handler() = default;
     /** \param head The request without its body, which has not been read. \return An answer to send
-     * at once; the body is then read and dropped, or the connection closed. */
+     * at once; the body is then discarded, or the connection closed. */
     virtual std::optional<HttpResponse> answer_early(const HttpRequest &head) = 0;
     virtual void handle(HttpRequest request, wire_answer_ptr answer) = 0;
-    /** What a caller sent is no HTTP. */
+    /** Called when a caller sent bytes that are not valid HTTP. */
     virtual void handle_malformed(const Address &peer, const std::string &head) = 0;
 };
 
@@ -66,7 +66,7 @@
     const Address &local() const {
         return local_;
     }
-    /** Closes all connections and listens no more, as a process that crashes. */
+    /** Closes all connections and stops listening, as in a process crash. */
     void crash();
 
 private:
--- a/tests/soak/fleet/worker_role.cc
+++ b/tests/soak/fleet/worker_role.cc
@@ -11,10 +11,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** The list drops a worker that has crashed after it has missed three heartbeats. */
-constexpr Duration kMissed = milliseconds(3600);
-constexpr Duration kServesOn = seconds(5);
-constexpr Duration kAddressRests = seconds(2);
+/** A crashed worker is removed from the worker table after three missed heartbeats. */
+constexpr Duration kRemovalDelay = milliseconds(3600);
+constexpr Duration kDrainTime = seconds(5);
+constexpr Duration kAddressReuseDelay = seconds(2);
 
 } // namespace
 
@@ -34,15 +34,15 @@
             {"worker_break", [&] { break_answers(length); }},
             {"worker_refuse", [&] { refuse(length); }},
             {"worker_mute", [&] { mute(length); }},
-            {"worker_leave", [&] { leave(); }},
+            {"worker_leave", [&] { drain_and_stop(); }},
             {"worker_kill", [&] { crash(); }},
-            {"worker_rack", [&] { lose_rack(); }},
+            {"worker_rack", [&] { crash_rack(); }},
         };
         kinds.at(fields.at("kind"))();
         return json::object();
     });
     process_.on_command("heal", [this](const json & /*fields*/) {
-        heal();
+        clear_faults();
         return json::object();
     });
 }
@@ -72,7 +72,7 @@
     workers_.push_back(std::make_unique<fleet_worker>(process_, service, incarnation, zone, local));
     fleet_worker &added = *workers_.back();
     added.on_fatal = [this, &added](const std::string &id, const std::string &content) {
-        end_by_request(added, id, content);
+        crash_by_request(added, id, content);
     };
     write(added, "ready", [] {});
     return added;
@@ -109,7 +109,7 @@
                  });
 }
 
-fleet_worker *worker_role::any_worker() {
+fleet_worker *worker_role::pick_serving_worker() {
     std::vector<fleet_worker *> serving;
     for (const auto &worker : workers_) {
         if (!worker->draining() && !worker->crashed()) {
@@ -119,43 +119,44 @@
     return serving.empty() ? nullptr : serving[process_.random.below(serving.size())];
 }
 
-void worker_role::disturb(const fleet_worker &worker, const std::string &kind, Duration length) {
+void worker_role::record_disturbance(const fleet_worker &worker, const std::string &kind,
+                                     Duration length) {
     disturbance entry;
     entry.at = process_.now();
     entry.to = entry.at + length;
     entry.kind = kind;
     entry.part = disturbed_part::kWorker;
     entry.target = worker.incarnation();
-    process_.note(entry);
+    process_.add_record(entry);
 }
 
 void worker_role::break_answers(Duration length) {
-    if (fleet_worker *worker = any_worker()) {
-        disturb(*worker, "worker_break", length);
+    if (fleet_worker *worker = pick_serving_worker()) {
+        record_disturbance(*worker, "worker_break", length);
         worker->faults.broken = 50 + process_.random.below(51);
-        process_.later(length, [worker] { worker->faults.broken = 0; });
+        process_.run_after(length, [worker] { worker->faults.broken = 0; });
     }
 }
 
 void worker_role::refuse(Duration length) {
-    if (fleet_worker *worker = any_worker()) {
-        disturb(*worker, "worker_refuse", length);
+    if (fleet_worker *worker = pick_serving_worker()) {
+        record_disturbance(*worker, "worker_refuse", length);
         worker->faults.refused = 70;
-        process_.later(length, [worker] { worker->faults.refused = 0; });
+        process_.run_after(length, [worker] { worker->faults.refused = 0; });
     }
 }
 
 void worker_role::mute(Duration length) {
-    if (fleet_worker *worker = any_worker()) {
-        disturb(*worker, "worker_mute", length);
+    if (fleet_worker *worker = pick_serving_worker()) {
+        record_disturbance(*worker, "worker_mute", length);
         worker->faults.mute = 60;
-        process_.later(length, [worker] { worker->faults.mute = 0; });
+        process_.run_after(length, [worker] { worker->faults.mute = 0; });
     }
 }
 
-/** Says that it leaves, serves a while longer, and ends; another takes its place. */
-void worker_role::leave() {
-    fleet_worker *worker = any_worker();
+/** Registers a replacement, marks the worker as draining, and stops it after kDrainTime. */
+void worker_role::drain_and_stop() {
+    fleet_worker *worker = pick_serving_worker();
     if (worker == nullptr) {
         return;
     }
@@ -165,51 +166,51 @@
         worker_leaving entry;
         entry.at = process_.now();
         entry.worker = worker->incarnation();
-        process_.note(entry);
+        process_.add_record(entry);
     });
-    process_.later(kServesOn, [this, worker] {
-        disturb(*worker, "worker_leave", seconds(0));
+    process_.run_after(kDrainTime, [this, worker] {
+        record_disturbance(*worker, "worker_leave", seconds(0));
         worker->crash();
         remove(worker->incarnation(), [] {});
     });
 }
 
 void worker_role::crash() {
-    fleet_worker *worker = any_worker();
+    fleet_worker *worker = pick_serving_worker();
     if (worker == nullptr) {
         return;
     }
-    disturb(*worker, "worker_kill", kMissed);
+    record_disturbance(*worker, "worker_kill", kRemovalDelay);
     worker->crash();
-    process_.later(kMissed, [this, worker] { remove(worker->incarnation(), [] {}); });
-    process_.later(kAddressRests, [this, worker] { follow(*worker); });
+    process_.run_after(kRemovalDelay, [this, worker] { remove(worker->incarnation(), [] {}); });
+    process_.run_after(kAddressReuseDelay, [this, worker] { start_replacement(*worker); });
 }
 
-/** A fifth of the workers end within some 30 ms, as a rack does that loses power. */
-void worker_role::lose_rack() {
-    constexpr uint64_t kPart = 5;
+/** Crashes a fifth of the workers within about 30 ms, as when a rack loses power. */
+void worker_role::crash_rack() {
+    constexpr uint64_t kRackDivisor = 5;
     const Duration lasts = milliseconds(30);
-    for (uint64_t count = workers_.size() / kPart; count > 0; --count) {
-        process_.later(process_.between(Duration(0), lasts), [this] { crash(); });
+    for (uint64_t count = workers_.size() / kRackDivisor; count > 0; --count) {
+        process_.run_after(process_.random_duration(Duration(0), lasts), [this] { crash(); });
     }
 }
 
-void worker_role::end_by_request(fleet_worker &worker, const std::string &id,
-                                 const std::string &content) {
+void worker_role::crash_by_request(fleet_worker &worker, const std::string &id,
+                                   const std::string &content) {
     fatal_end entry;
     entry.at = process_.now();
     entry.worker = worker.incarnation();
     entry.id = id;
     entry.content = content;
-    process_.note(entry);
-    disturb(worker, "worker_ends", kMissed);
+    process_.add_record(entry);
+    record_disturbance(worker, "worker_ends", kRemovalDelay);
     worker.crash();
     const bool keeps_id = process_.chance(50);
-    const Duration pause = process_.between(kAddressRests, kMissed);
+    const Duration pause = process_.random_duration(kAddressReuseDelay, kRemovalDelay);
     if (!keeps_id) {
-        process_.later(kMissed, [this, &worker] { remove(worker.incarnation(), [] {}); });
+        process_.run_after(kRemovalDelay, [this, &worker] { remove(worker.incarnation(), [] {}); });
     }
-    process_.later(pause, [this, &worker, keeps_id] {
+    process_.run_after(pause, [this, &worker, keeps_id] {
         if (keeps_id) {
             add(worker.service(), worker.zone(), worker.address(), worker.incarnation());
         } else {
@@ -218,9 +219,9 @@
     });
 }
 
-/** At the address of the one that has ended, which nodes may still hold connections of, and half of
- * the time for another service. */
-void worker_role::follow(const fleet_worker &ended) {
+/** Reuses the address of the ended worker, to which nodes may still hold connections; half of the
+ * time the new worker belongs to another service. */
+void worker_role::start_replacement(const fleet_worker &ended) {
     const std::vector<service_options> &services = process_.options.plan.services;
     const bool other = process_.chance(50) && services.size() > 1;
     const service_options &service =
@@ -231,7 +232,7 @@
     }
 }
 
-void worker_role::heal() {
+void worker_role::clear_faults() {
     for (const auto &worker : workers_) {
         worker->faults = {};
     }
--- a/tests/soak/fleet/worker_role.h
+++ b/tests/soak/fleet/worker_role.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_WORKER_ROLE_H
 
 /** \file
- * A process that emulates a part of the workers. They write themselves into the store's list, say
- * that they leave, crash, and are followed by new ones, at times at the address of the old.
+ * A process that emulates a part of the workers. They register in the store's worker table,
+ * drain, crash, and are replaced by new workers, sometimes at the same address.
  */
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 namespace chalkshed::soak {
 
-/** Runs until it is told to stop. */
+/** Runs until the command "stop" arrives. */
 void run_worker_role(const role_options &options);
 
 class worker_role {
@@ -29,26 +29,26 @@
     void add_workers();
     fleet_worker &add(const service_options &service, const std::string &zone,
                       const Address &local);
-    /** Does `done` once the store has taken the row. */
+    /** Calls `done` once the store has accepted the row. */
     void write(const fleet_worker &worker, const char *state, done_callback done);
     void remove(const std::string &incarnation, done_callback done);
     void put(const nlohmann::json &row, done_callback done);
-    /** One that serves as it should. */
-    fleet_worker *any_worker();
-    void disturb(const fleet_worker &worker, const std::string &kind, Duration length);
+    /** A random worker that is neither draining nor crashed; null if there is none. */
+    fleet_worker *pick_serving_worker();
+    void record_disturbance(const fleet_worker &worker, const std::string &kind, Duration length);
 
     void break_answers(Duration length);
     void refuse(Duration length);
     void mute(Duration length);
-    void leave();
+    void drain_and_stop();
     void crash();
-    void lose_rack();
-    /** It begins anew some seconds later, half of the time under the id that it had. */
-    void end_by_request(fleet_worker &worker, const std::string &id, const std::string &content);
-    void follow(const fleet_worker &ended);
+    void crash_rack();
+    /** Crashes the worker; it restarts some seconds later, half of the time with the same id. */
+    void crash_by_request(fleet_worker &worker, const std::string &id, const std::string &content);
+    void start_replacement(const fleet_worker &ended);
     fleet_worker &add(const service_options &service, const std::string &zone, const Address &local,
                       const std::string &incarnation);
-    void heal();
+    void clear_faults();
 
     role_process process_;
     std::vector<std::unique_ptr<fleet_worker>> workers_;
