--- a/tests/soak/fleet/checks.cc
+++ b/tests/soak/fleet/checks.cc
@@ -15,8 +15,9 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-/** Examples kept and printed of each check and, again, of its excused cases. */
-constexpr uint64_t kMostExamples = 50;
+/** Limit of the examples kept for each check; violations and excused cases are limited separately.
+ */
+constexpr uint64_t kMaxExamples = 50;
 
 struct named_check {
     check_kind kind;
@@ -44,7 +45,7 @@
     return duration_cast<milliseconds>(length).count();
 }
 
-std::string in_words(Duration length) {
+std::string format_ms(Duration length) {
     return std::to_string(in_ms(length)) + " ms";
 }
 
@@ -62,7 +63,7 @@
     return result;
 }
 
-/** \return Which parts of the message differ, in words; empty where none does. */
+/** \return The names of the parts that differ, separated by commas; empty if none does. */
 std::string differences(const carried_message &sent, const carried_message &got) {
     std::string result;
     const auto compare = [&](const char *what, const auto &one, const auto &other) {
@@ -83,7 +84,7 @@
     return status >= 200 && status < 300;
 }
 
-/** Makes the checks one by one on joined records. */
+/** Runs all checks on the joined records. */
 class checker {
 public:
     checker(const run_history &history, const deployment &of)
@@ -118,7 +119,8 @@
     std::string where(const run_begin &run) const;
     void violate(check_kind kind, MonotonicTime at, const std::string &what);
     void excuse(check_kind kind, MonotonicTime at, const std::string &what);
-    /** Counts what the sender of the run did wrong as a violation or as excused. */
+    /** Counts a fault of the run's sender as excused if the sender was disturbed, else as a
+     * violation. */
     void judge_sender(check_kind kind, const run_begin &run, const std::string &what);
     std::string line(MonotonicTime at, const std::string &what) const;
 
@@ -151,19 +153,19 @@
 }
 
 std::string checker::line(MonotonicTime at, const std::string &what) const {
-    return in_words(at - history_.first) + ": " + what;
+    return format_ms(at - history_.first) + ": " + what;
 }
 
 void checker::violate(check_kind kind, MonotonicTime at, const std::string &what) {
     check_result &result = report_.checks[kind];
-    if (result.violations++ < kMostExamples) {
+    if (result.violations++ < kMaxExamples) {
         result.examples.push_back(line(at, what));
     }
 }
 
 void checker::excuse(check_kind kind, MonotonicTime at, const std::string &what) {
     check_result &result = report_.checks[kind];
-    if (result.excused++ < kMostExamples) {
+    if (result.excused++ < kMaxExamples) {
         result.examples.push_back(line(at, "excused: " + what));
     }
 }
@@ -202,7 +204,7 @@
     const MonotonicTime sent = is_item ? item->second.first_sent : request->second.send->at;
     if (run.at < sent) {
         violate(check_kind::kSent, run.at,
-                where(run) + " " + in_words(sent - run.at) + " before a caller sent it");
+                where(run) + " " + format_ms(sent - run.at) + " before a caller sent it");
     }
     check_message(run,
                   is_item ? item->second.messages : std::vector{&request->second.send->message});
@@ -262,25 +264,26 @@
 }
 
 void checker::check_fatal_contents() {
-    constexpr size_t kEndsKnown = 3;
-    constexpr size_t kMostLate = 3;
+    constexpr size_t kEndsUntilKnown = 3;
+    constexpr size_t kMaxLateRuns = 3;
     std::map<std::string, std::vector<const run_begin *>> late;
     for (const run_begin *run : history_.runs) {
         const auto found = history_.fatal_ends.find(run->message.body_digest);
-        const bool known = found != history_.fatal_ends.end() && found->second.size() >= kEndsKnown;
-        if (known && run->at > found->second[kEndsKnown - 1] + bounds_.contact) {
+        const bool known =
+            found != history_.fatal_ends.end() && found->second.size() >= kEndsUntilKnown;
+        if (known && run->at > found->second[kEndsUntilKnown - 1] + bounds_.contact) {
             late[found->first].push_back(run);
         }
     }
     for (const auto &[content, ends] : history_.fatal_ends) {
-        if (ends.size() < kEndsKnown) {
+        if (ends.size() < kEndsUntilKnown) {
             continue;
         }
         ++report_.checks[check_kind::kFatalContent].tested;
-        size_t by_calm_nodes = 0;
+        size_t by_undisturbed_nodes = 0;
         for (const run_begin *run : late[content]) {
-            by_calm_nodes += sender_disturbed(*run) ? 0 : 1;
-            if (by_calm_nodes > kMostLate) {
+            by_undisturbed_nodes += sender_disturbed(*run) ? 0 : 1;
+            if (by_undisturbed_nodes > kMaxLateRuns) {
                 violate(check_kind::kFatalContent, run->at,
                         where(*run) + " though workers had ended under its content, " +
                             std::to_string(ends.size()) + " in all");
@@ -291,20 +294,20 @@
 }
 
 void checker::check_ends_of_contents() {
-    // Three that prove it and two copies that were under way by then, or a later trial.
-    constexpr size_t kMostEnds = 5;
+    // Three that identify the content, and two copies that were in flight by then or a later trial.
+    constexpr size_t kMaxEnds = 5;
     report_.checks[check_kind::kEndsOfContent].tested = history_.fatal_ends.size();
-    std::map<std::string, size_t> by_calm_nodes;
+    std::map<std::string, size_t> by_undisturbed_nodes;
     for (const run_begin *run : history_.runs) {
-        // An older build may lack what keeps copies at one time apart.
+        // An older build may lack the rule that runs concurrent copies at different times.
         const bool judged = !sender_disturbed(*run) && !history_.sent_by_production(*run);
         if (!judged || !history_.fatal_runs.contains({run->worker, run->id})) {
             continue;
         }
         const std::string &content = run->message.body_digest;
-        if (++by_calm_nodes[content] > kMostEnds) {
+        if (++by_undisturbed_nodes[content] > kMaxEnds) {
             violate(check_kind::kEndsOfContent, run->at,
-                    where(*run) + " as number " + std::to_string(by_calm_nodes[content]) +
+                    where(*run) + " as number " + std::to_string(by_undisturbed_nodes[content]) +
                         " of the workers that ended under its content");
         }
     }
@@ -340,18 +343,20 @@
     }
 }
 
-/** A worker that breaks off leaves nothing else to do, and a request on a kept connection may cross
- * the node's close of it, if it has not run. */
+/** A node can only cut the answer off if its worker did. A request on a reused connection that has
+ * not run may have been sent while the node was closing that connection. */
 bool checker::cut_is_excused(const request_history &request, MonotonicTime until) const {
-    const interval lived = {request.send->at - bounds_.contact, until};
+    const interval lifetime = {request.send->at - bounds_.contact, until};
     const bool worker_broke =
         std::any_of(request.runs.begin(), request.runs.end(), [&](const run_begin *run) {
             const run_end *end = history_.end_of(*run);
             return (end != nullptr && end->outcome == run_outcome::kBroken) ||
-                   history_.disturbed.worker_disturbed(run->worker, lived);
+                   history_.disturbed.worker_disturbed(run->worker, lifetime);
         });
-    const bool crossed = request.send->kept && request.answer->status == 0 && request.runs.empty();
-    return worker_broke || crossed || history_.disturbed.node_disturbed(request.send->node, lived);
+    const bool closed_before_run =
+        request.send->kept && request.answer->status == 0 && request.runs.empty();
+    return worker_broke || closed_before_run ||
+           history_.disturbed.node_disturbed(request.send->node, lifetime);
 }
 
 void checker::check_job(const std::string &id, const job_history &job) {
@@ -369,15 +374,15 @@
     std::set<uint64_t> refused;
     for (const job_answer *answer : job.answers) {
         if (!promises_not_run(answer->status)) {
-            return; // it may have been taken
+            return; // it may have been accepted
         }
         refused.insert(answer->attempt);
     }
-    const bool each_try =
+    const bool every_attempt_refused =
         std::all_of(job.sends.begin(), job.sends.end(),
                     [&](const job_send *send) { return refused.contains(send->attempt); });
-    if (!each_try) {
-        return; // a try without an answer may have been taken
+    if (!every_attempt_refused) {
+        return; // an attempt without an answer may have been accepted
     }
     ++report_.checks[check_kind::kRefusedJob].tested;
     for (const run_begin *run : job.runs) {
@@ -415,11 +420,11 @@
         last_begin = std::max(last_begin, run->at);
         if (run->at > ended + bounds_.ended_job) {
             judge_sender(kind, *run,
-                         where(*run) + " " + in_words(run->at - ended) + " after its job " + id +
+                         where(*run) + " " + format_ms(run->at - ended) + " after its job " + id +
                              (answered ? " was ended" : " had to be ended, unacknowledged"));
         }
     }
-    // With all items begun, nothing was left that the end could have stopped.
+    // If all items had started, there was nothing left for the end to stop.
     const bool work_left = begun.size() < job.items;
     report_.checks[kind].tested += work_left ? 1 : 0;
     if (answered) {
@@ -460,8 +465,8 @@
     }
 }
 
-/** Judges a job once all its items are listed, or once it had the time for that; not if its caller
- * ended it, or the records end, before either. */
+/** Checks a job once all its items are listed or its time for that has passed. A job whose caller
+ * ended it, or whose records end, before either is not checked. */
 void checker::check_complete(const std::string &id, const job_history &job) {
     const std::optional<MonotonicTime> accepted = job.accepted();
     if (!accepted) {
@@ -482,7 +487,7 @@
     if (!complete) {
         violate(check_kind::kCompleteJob, until,
                 "job " + id + " lists " + std::to_string(listed.size()) + " of " +
-                    std::to_string(job.items) + " items, " + in_words(until - *accepted) +
+                    std::to_string(job.items) + " items, " + format_ms(until - *accepted) +
                     " after its 202");
     }
 }
@@ -498,11 +503,11 @@
             used.insert(run->worker);
         } else if (run->at > left->second + bounds_.leaving) {
             judge_sender(check_kind::kLeavingWorker, *run,
-                         where(*run) + " " + in_words(run->at - left->second) +
+                         where(*run) + " " + format_ms(run->at - left->second) +
                              " after it said that it leaves");
         }
     }
-    // A worker that nobody used would have got nothing anyway.
+    // A worker that was never used would not have got a request in any case.
     report_.checks[check_kind::kLeavingWorker].tested = used.size();
 }
 
@@ -515,11 +520,11 @@
     }
     const process_lag &worst = report_.worst_lag;
     if (worst.samples == 0) {
-        report_.invalid.push_back("no process of the rig recorded its lag");
+        report_.invalid.push_back("no test process recorded its timer lag");
     } else if (worst.p99 > bounds_.lag) {
         report_.invalid.push_back("the timers of " + worst.process + " came " +
-                                  in_words(worst.p99) + " late at the 99th of 100, beyond " +
-                                  in_words(bounds_.lag) +
+                                  format_ms(worst.p99) + " late at the 99th of 100, beyond " +
+                                  format_ms(bounds_.lag) +
                                   "; use fewer processes or a machine with more cores");
     }
 }
--- a/tests/soak/fleet/checks.h
+++ b/tests/soak/fleet/checks.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_CHECKS_H
 
 /** \file
- * What must hold, judged on the records of a run: by what callers, workers and the store have seen,
- * never by what a node says of itself.
+ * The invariants of a soak run, checked on its records. The evidence is what callers, workers and
+ * the store observed, never what a node reports about itself.
  */
 
 #include <iosfwd>
@@ -17,39 +17,42 @@
 namespace chalkshed::soak {
 
 enum class check_kind {
-    kSent,           /**< each id that ran had been sent by a caller */
-    kUnaltered,      /**< method, path, query, body and carried headers are the caller's */
-    kRefusedRequest, /**< no request ran whose answer promised that it never will */
-    kRefusedJob,     /**< no item ran of a job that was so refused at each try */
-    kEndedJob,       /**< nothing of a job begins later than the bound after its end's 200 */
-    kUnansweredEnd,  /**< the same for ends that nobody acknowledged in time */
-    kOnce,           /**< what must run once runs once */
-    kWholeAnswer,    /**< callers get the whole answer to their own request */
-    kListing,        /**< listed items keep position, state and text */
-    kCompleteJob,    /**< an accepted job that nobody ended lists each item */
-    kLeavingWorker,  /**< a leaving worker gets nothing beyond its bound */
-    kFatalContent,   /**< what has ended three workers reaches at most three more, a while later */
-    kEndsOfContent,  /**< one content ends few workers in all, however many copies come */
-    kInnocent,       /**< no other request is refused for what workers ended under */
+    kSent,           /**< every id that ran was sent by a caller before */
+    kUnaltered,      /**< workers get method, path, query, body and recorded headers as the caller
+                        sent them */
+    kRefusedRequest, /**< a request whose answer promises that it is never run did not run */
+    kRefusedJob,     /**< no item ran of a job that every attempt refused in that way */
+    kEndedJob,       /**< no item of a job starts later than the bound after the 200 to its end */
+    kUnansweredEnd,  /**< the same for ends that were not acknowledged in time */
+    kOnce,           /**< requests that may run only once run at most once */
+    kWholeAnswer,    /**< callers get the complete answer to their own request */
+    kListing,        /**< the listed items of a job keep their position, state and text */
+    kCompleteJob,    /**< an accepted job that was not ended lists every item */
+    kLeavingWorker,  /**< a leaving worker gets no request after the bound */
+    kFatalContent,   /**< a content that terminated three workers reaches at most three more after
+                        the contact time */
+    kEndsOfContent,  /**< one content terminates few workers in total, however many copies are sent
+                      */
+    kInnocent,       /**< no other request is refused because workers terminated */
 };
 
 /** All kinds in the order of the report. */
 const std::vector<check_kind> &all_checks();
 
-/** \return The name in reports and among a deployment's floors. */
+/** \return The name in reports and in the floors of a deployment file. */
 std::string check_name(check_kind kind);
 
-/** What one check found. */
+/** The result of one check. */
 struct check_result {
-    /** How often the case that the check is about came up at all. */
+    /** How often the case that the check covers occurred. */
     uint64_t tested = 0;
-    /** How often it must have, for the run to say something. */
+    /** The least value of `tested` for the run to be conclusive. */
     uint64_t floor = 0;
     uint64_t violations = 0;
-    /** What would be a violation but for a disturbance of the sender or its store shortly before.
-     */
+    /** Cases that would be violations if the sender or its store had not been disturbed shortly
+     * before. */
     uint64_t excused = 0;
-    /** The first violations and, marked, excused cases in words. */
+    /** Descriptions of the first violations and the first excused cases; the latter are marked. */
     std::vector<std::string> examples;
 };
 
@@ -62,24 +65,24 @@
 
 struct check_report {
     std::map<check_kind, check_result> checks;
-    /** From the acknowledgement of an end to the last begin of a run of its job; 0 where nothing
-     * began afterwards. Over all ended jobs, disturbed or not. */
+    /** Time from the acknowledgement of an end to the last start of an item of its job; 0 if none
+     * started afterwards. Over all ended jobs, disturbed or not. */
     spread end_to_last_begin;
-    /** Jobs whose ends were answered that there is no such job, before any 202: not judged, because
-     * there was nothing to end yet. */
+    /** Jobs whose end was answered with 404 and that no node had accepted with a 202: not checked,
+     * because there was nothing to end yet. */
     uint64_t ends_unjudged = 0;
     uint64_t requests = 0;
     uint64_t jobs = 0;
     uint64_t runs = 0;
-    /** The rig process whose timers came latest at the 99th of 100. */
+    /** The test process with the highest 99th percentile of timer lag. */
     process_lag worst_lag;
-    /** Why nothing can be concluded from the run; empty where it is valid. */
+    /** Why the run is inconclusive; empty if it is valid. */
     std::vector<std::string> invalid;
 
     uint64_t violations() const;
-    /** The checks whose case came up less often than their floor asks. */
+    /** The checks whose case occurred less often than their floor requires. */
     std::vector<check_kind> below_floor() const;
-    /** Valid, nothing violated and each check tested often enough. */
+    /** Whether the run is valid, without violations, and no check is below its floor. */
     bool passed() const;
 };
 
--- a/tests/soak/fleet/deployment.cc
+++ b/tests/soak/fleet/deployment.cc
@@ -15,14 +15,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** What the machines that run the soak bear. */
-constexpr uint64_t kMostProcesses = 200;
-/** Nodes listen on addresses of one loopback network that ends with their number. */
-constexpr uint64_t kMostNodes = 250;
-constexpr uint64_t kMostItems = 200;
-constexpr uint64_t kMostBodyBytes = 1U << 20U;
-constexpr uint64_t kMostWorkers = 1000;
-constexpr double kMostPerSecond = 20'000;
+/** Limit for the machines that run the soak. */
+constexpr uint64_t kMaxProcesses = 200;
+/** Nodes listen on addresses of one loopback network; the last octet is the node's number. */
+constexpr uint64_t kMaxNodes = 250;
+constexpr uint64_t kMaxItems = 200;
+constexpr uint64_t kMaxBodyBytes = 1U << 20U;
+constexpr uint64_t kMaxWorkers = 1000;
+constexpr double kMaxPerSecond = 20'000;
 
 std::string joined(const std::vector<std::string> &names) {
     std::string result;
@@ -36,8 +36,8 @@
     return node.source().begin.line;
 }
 
-/** Reads the fields of one table. Each reading names a field that the table may have; finish()
- * reports all others. */
+/** Reads the fields of one table. Each read registers a field that the table may have;
+ * finish() reports all others as unknown. */
 class table_reader {
 public:
     table_reader(std::vector<deployment_problem> &problems, const std::string &file,
@@ -52,10 +52,10 @@
     void percent(const std::string &name, uint64_t &target) {
         whole(name, target, 0, 100);
     }
-    /** In the unit, as which the field's name ends too. */
+    /** Reads a time in `unit`, which is also the suffix of the field's name. */
     void time(const std::string &name, Duration &target, Duration unit, uint64_t lowest,
               uint64_t highest);
-    /** A number, or an array of the lowest and the highest. */
+    /** Reads a number, or an array of the lowest and the highest. */
     void interval(const std::string &name, range &target, uint64_t lowest, uint64_t highest);
     template <class Choice>
     void choice(const std::string &name, Choice &target,
@@ -68,12 +68,12 @@
     bool has(const std::string &name) const {
         return table_.contains(name);
     }
-    /** Reports what is wrong with a field, or with its table if the field is missing. */
+    /** Adds a problem at the line of the field, or of its table if the field is missing. */
     void problem(const std::string &name, const std::string &message, const std::string &remedy);
     void finish();
 
 private:
-    /** \return The node of that name, which becomes known, or null. */
+    /** \return The node of that name or null; registers the name as known. */
     const toml::node *find(const std::string &name);
     void wrong_type(const std::string &name, const std::string &wanted);
     bool whole_in(const std::string &name, const toml::node &node, uint64_t &target,
@@ -82,7 +82,7 @@
     std::vector<deployment_problem> &problems_;
     const std::string &file_;
     const toml::table &table_;
-    std::string path_; // with a dot at its end, or empty
+    std::string path_; // ends with a dot, or empty
     std::set<std::string> known_;
 };
 
@@ -113,7 +113,7 @@
     for (const auto &[key, node] : table_) {
         const std::string name(key.str());
         if (!known_.contains(name)) {
-            problem(name, "is not known", "use one of " + joined(names));
+            problem(name, "is unknown", "use one of " + joined(names));
         }
     }
 }
@@ -125,7 +125,7 @@
     }
     const auto value = node->value_exact<std::string>();
     if (!value) {
-        wrong_type(name, "a text in quotes");
+        wrong_type(name, "a string in quotes");
         return;
     }
     // Names become parts of paths, host names and file names.
@@ -146,15 +146,15 @@
     }
     const toml::array *values = node->as_array();
     if (values == nullptr || values->empty() || !values->is_homogeneous<std::string>()) {
-        wrong_type(name, "an array of texts, such as [\"zone-a\", \"zone-b\"]");
+        wrong_type(name, "an array of strings, such as [\"zone-a\", \"zone-b\"]");
         return;
     }
     target.clear();
     for (const toml::node &value : *values) {
         const std::string entry = *value.value<std::string>();
         if (entry.empty() || std::find(target.begin(), target.end(), entry) != target.end()) {
-            problem(name, "\"" + entry + "\" is empty or stands twice",
-                    "give each entry a name of its own");
+            problem(name, "\"" + entry + "\" is empty or a duplicate",
+                    "give each entry a unique name");
         }
         target.push_back(entry);
     }
@@ -210,7 +210,7 @@
         return;
     }
     const double value = *node->value<double>();
-    // Written so that "not a number" fails it too.
+    // Written so that NaN is out of range too.
     if (!(value >= lowest && value <= highest)) {
         problem(name, std::to_string(value) + " is out of range", "write " + wanted);
         return;
@@ -249,7 +249,7 @@
     const bool valid = whole_in(name, *ends->get(0), read.fewest, lowest, highest) &&
                        whole_in(name, *ends->get(1), read.most, lowest, highest);
     if (valid && read.fewest > read.most) {
-        problem(name, "its lowest is above its highest", "write the lowest first");
+        problem(name, "the lowest is above the highest", "write the lowest first");
     } else if (valid) {
         target = read;
     }
@@ -273,7 +273,7 @@
     for (const auto &entry : choices) {
         names.push_back(entry.first);
     }
-    problem(name, value ? "\"" + *value + "\" is not known" : "is not a text",
+    problem(name, value ? "\"" + *value + "\" is unknown" : "is not a string",
             "use one of " + joined(names));
 }
 
@@ -303,7 +303,7 @@
     return result;
 }
 
-/** Reads the sections of one file and checks them against each other. */
+/** Reads the sections of one file and checks that they are consistent. */
 class deployment_reader {
 public:
     deployment_reader(const toml::table &root, const std::string &file)
@@ -312,11 +312,11 @@
     deployment_result read();
 
 private:
-    /** A reader of that section; of an empty table where the file has none. */
+    /** A reader of that section, or of an empty table if the file has none. */
     table_reader section(const std::string &name);
     table_reader entry(const toml::table &table, const std::string &name, size_t number);
 
-    void read_places();
+    void read_topology();
     void read_services();
     void read_service(table_reader fields);
     void read_routes();
@@ -337,7 +337,7 @@
 };
 
 deployment_result deployment_reader::read() {
-    read_places();
+    read_topology();
     read_services();
     read_routes();
     read_callers();
@@ -345,7 +345,7 @@
     read_bounds();
     read_floors();
     top_.finish();
-    if (problems_.empty()) { // their sums mean something
+    if (problems_.empty()) { // the totals are only meaningful for valid fields
         check_processes();
     }
     if (!problems_.empty()) {
@@ -364,21 +364,21 @@
     return {problems_, file_, table, name + "[" + std::to_string(number) + "]."};
 }
 
-void deployment_reader::read_places() {
-    constexpr uint64_t kMostSeconds = 86'400;
-    constexpr uint64_t kMostAnswerMs = 1000;
+void deployment_reader::read_topology() {
+    constexpr uint64_t kMaxSeconds = 86'400;
+    constexpr uint64_t kMaxAnswerMs = 1000;
     top_.texts("zones", result_.zones);
     top_.require("zones", "write zones = [\"zone-a\"] or more of them");
-    top_.whole("nodes", result_.nodes, 1, kMostNodes);
+    top_.whole("nodes", result_.nodes, 1, kMaxNodes);
     top_.require("nodes", "write how many node processes run");
-    top_.whole("worker_processes", result_.worker_processes, 1, kMostProcesses);
+    top_.whole("worker_processes", result_.worker_processes, 1, kMaxProcesses);
     table_reader run = section("run");
-    run.time("length_s", result_.length, seconds(1), 1, kMostSeconds);
-    run.time("settle_s", result_.settle, seconds(1), 0, kMostSeconds);
+    run.time("length_s", result_.length, seconds(1), 1, kMaxSeconds);
+    run.time("settle_s", result_.settle, seconds(1), 0, kMaxSeconds);
     run.finish();
     table_reader store = section("store");
-    store.time("answer_ms", result_.store_answer, milliseconds(1), 0, kMostAnswerMs);
-    store.time("history_s", result_.store_history, seconds(1), 1, kMostSeconds);
+    store.time("answer_ms", result_.store_answer, milliseconds(1), 0, kMaxAnswerMs);
+    store.time("history_s", result_.store_history, seconds(1), 1, kMaxSeconds);
     store.finish();
 }
 
@@ -391,25 +391,25 @@
 }
 
 void deployment_reader::read_service(table_reader fields) {
-    constexpr uint64_t kMostSlots = 1000;
-    constexpr uint64_t kMostEvents = 10'000;
-    constexpr uint64_t kMostMs = 60'000;
+    constexpr uint64_t kMaxSlots = 1000;
+    constexpr uint64_t kMaxEvents = 10'000;
+    constexpr uint64_t kMaxMs = 60'000;
     service_options service;
     fields.text("name", service.name);
     fields.require("name", "write the name that routes refer to");
-    fields.whole("workers", service.workers, 1, kMostWorkers);
+    fields.whole("workers", service.workers, 1, kMaxWorkers);
     fields.require("workers", "write how many workers it has");
-    fields.whole("slots", service.slots, 1, kMostSlots);
-    fields.whole("events", service.events, 1, kMostEvents);
-    fields.time("first_event_ms", service.first_event, milliseconds(1), 0, kMostMs);
-    fields.time("between_events_ms", service.between_events, milliseconds(1), 0, kMostMs);
+    fields.whole("slots", service.slots, 1, kMaxSlots);
+    fields.whole("events", service.events, 1, kMaxEvents);
+    fields.time("first_event_ms", service.first_event, milliseconds(1), 0, kMaxMs);
+    fields.time("between_events_ms", service.between_events, milliseconds(1), 0, kMaxMs);
     fields.percent("early_answer_percent", service.early_answer_percent);
     fields.finish();
     const bool twice = std::any_of(result_.services.begin(), result_.services.end(),
                                    [&](const auto &other) { return other.name == service.name; });
     if (twice) {
-        fields.problem("name", "\"" + service.name + "\" stands twice",
-                       "give each service a name of its own");
+        fields.problem("name", "\"" + service.name + "\" is a duplicate",
+                       "give each service a unique name");
     }
     result_.services.push_back(std::move(service));
 }
@@ -428,10 +428,10 @@
         {"idempotent", route_kind::kIdempotent},
         {"non_idempotent", route_kind::kNonIdempotent},
         {"batch", route_kind::kBatch}};
-    constexpr uint64_t kMostMs = 600'000;
-    constexpr uint64_t kMostSeconds = 86'400;
-    constexpr uint64_t kMostAttempts = 10;
-    constexpr uint64_t kMostTokens = 1'000'000'000;
+    constexpr uint64_t kMaxMs = 600'000;
+    constexpr uint64_t kMaxSeconds = 86'400;
+    constexpr uint64_t kMaxAttempts = 10;
+    constexpr uint64_t kMaxTokens = 1'000'000'000;
     route_options route;
     fields.text("name", route.name);
     fields.require("name", "write the name that its path begins with");
@@ -439,21 +439,21 @@
     fields.require("kind", "write kind = \"streaming\" or another kind");
     fields.text("service", route.service);
     fields.require("service", "write the name of one of the services");
-    fields.whole("attempts", route.attempts, 1, kMostAttempts);
-    fields.time("timeout_ms", route.timeout, milliseconds(1), 1, kMostMs);
-    fields.time("target_ms", route.target, milliseconds(1), 1, kMostMs);
-    fields.whole("priority", route.priority, 0, kMostAttempts);
+    fields.whole("attempts", route.attempts, 1, kMaxAttempts);
+    fields.time("timeout_ms", route.timeout, milliseconds(1), 1, kMaxMs);
+    fields.time("target_ms", route.target, milliseconds(1), 1, kMaxMs);
+    fields.whole("priority", route.priority, 0, kMaxAttempts);
     fields.flag("resumable", route.resumable);
-    fields.time("run_target_ms", route.run_target, milliseconds(1), 1, kMostMs);
-    fields.time("retention_s", route.retention, seconds(1), 1, kMostSeconds);
-    fields.number("per_second", route.per_second, 0, kMostPerSecond);
+    fields.time("run_target_ms", route.run_target, milliseconds(1), 1, kMaxMs);
+    fields.time("retention_s", route.retention, seconds(1), 1, kMaxSeconds);
+    fields.number("per_second", route.per_second, 0, kMaxPerSecond);
     fields.require("per_second", "write its requests, or on a batch route its jobs, a second");
-    fields.interval("body_bytes", route.body, 0, kMostBodyBytes);
-    fields.interval("items", route.items, 1, kMostItems);
-    fields.whole("tokens_per_item", route.tokens_per_item, 1, kMostTokens);
+    fields.interval("body_bytes", route.body, 0, kMaxBodyBytes);
+    fields.interval("items", route.items, 1, kMaxItems);
+    fields.whole("tokens_per_item", route.tokens_per_item, 1, kMaxTokens);
     if (fields.has("max_queued_tokens")) {
         uint64_t limit = 0;
-        fields.whole("max_queued_tokens", limit, 1, kMostTokens);
+        fields.whole("max_queued_tokens", limit, 1, kMaxTokens);
         route.max_queued_tokens = limit;
     }
     fields.finish();
@@ -464,8 +464,8 @@
 void deployment_reader::check_route(table_reader &fields, const route_options &route) {
     const auto same_name = [&](const auto &other) { return other.name == route.name; };
     if (std::any_of(result_.routes.begin(), result_.routes.end(), same_name)) {
-        fields.problem("name", "\"" + route.name + "\" stands twice",
-                       "give each route a name of its own");
+        fields.problem("name", "\"" + route.name + "\" is a duplicate",
+                       "give each route a unique name");
     }
     const bool served = std::any_of(result_.services.begin(), result_.services.end(),
                                     [&](const auto &each) { return each.name == route.service; });
@@ -475,13 +475,13 @@
     }
     if (route.target > route.timeout) {
         fields.problem(fields.has("target_ms") ? "target_ms" : "timeout_ms",
-                       "the target lies beyond the timeout", "make timeout_ms the longer one");
+                       "the target exceeds the timeout", "make timeout_ms the longer one");
     }
     const bool batch = route.kind == route_kind::kBatch;
     for (const char *name :
          {"items", "max_queued_tokens", "run_target_ms", "retention_s", "tokens_per_item"}) {
         if (!batch && fields.has(name)) {
-            fields.problem(name, "belongs to batch routes alone",
+            fields.problem(name, "is only allowed on batch routes",
                            "remove it or write kind = \"batch\"");
         }
     }
@@ -492,16 +492,16 @@
     const bool too_small = route.max_queued_tokens && batch &&
                            *route.max_queued_tokens < route.items.most * route.tokens_per_item;
     if (too_small) {
-        fields.problem("max_queued_tokens", "is less than the largest job has",
+        fields.problem("max_queued_tokens", "is less than the largest job needs",
                        "write at least items x tokens_per_item");
     }
 }
 
 void deployment_reader::read_callers() {
-    constexpr uint64_t kMostMs = 60'000;
+    constexpr uint64_t kMaxMs = 60'000;
     caller_options &callers = result_.callers;
     table_reader fields = section("callers");
-    fields.whole("processes", callers.processes, 1, kMostProcesses);
+    fields.whole("processes", callers.processes, 1, kMaxProcesses);
     fields.percent("kept_percent", callers.kept_percent);
     fields.percent("chunked_percent", callers.chunked_percent);
     fields.percent("leave_percent", callers.leave_percent);
@@ -509,13 +509,13 @@
     fields.percent("again_while_open_percent", callers.again_while_open_percent);
     fields.percent("again_after_end_percent", callers.again_after_end_percent);
     fields.percent("end_soon_percent", callers.end_soon_percent);
-    fields.time("end_soon_ms", callers.end_soon, milliseconds(1), 1, kMostMs);
+    fields.time("end_soon_ms", callers.end_soon, milliseconds(1), 1, kMaxMs);
     fields.percent("end_unseen_percent", callers.end_unseen_percent);
     fields.percent("end_twice_percent", callers.end_twice_percent);
-    constexpr uint64_t kMostFatal = 100;
-    constexpr double kMostFatalPerMinute = 6000;
-    fields.whole("fatal_contents", callers.fatal_contents, 0, kMostFatal);
-    fields.number("fatal_per_minute", callers.fatal_per_minute, 0, kMostFatalPerMinute);
+    constexpr uint64_t kMaxFatal = 100;
+    constexpr double kMaxFatalPerMinute = 6000;
+    fields.whole("fatal_contents", callers.fatal_contents, 0, kMaxFatal);
+    fields.number("fatal_per_minute", callers.fatal_per_minute, 0, kMaxFatalPerMinute);
     fields.finish();
     if (callers.end_soon_percent + callers.end_unseen_percent > 100) {
         fields.problem("end_unseen_percent", "more than all jobs are ended",
@@ -524,8 +524,8 @@
 }
 
 void deployment_reader::read_faults() {
-    constexpr double kMostPerMinute = 600;
-    constexpr uint64_t kMostMs = 600'000;
+    constexpr double kMaxPerMinute = 600;
+    constexpr uint64_t kMaxMs = 600'000;
     std::map<std::string, std::string> kinds;
     for (const std::string &kind : fault_kinds()) {
         kinds[kind] = kind;
@@ -536,10 +536,10 @@
         fault_options fault;
         fields.choice("kind", fault.kind, kinds);
         fields.require("kind", "use one of " + joined(fault_kinds()));
-        fields.number("per_minute", fault.per_minute, 0, kMostPerMinute);
-        fields.require("per_minute", "write how often it comes");
-        fields.time("shortest_ms", fault.shortest, milliseconds(1), 0, kMostMs);
-        fields.time("longest_ms", fault.longest, milliseconds(1), 0, kMostMs);
+        fields.number("per_minute", fault.per_minute, 0, kMaxPerMinute);
+        fields.require("per_minute", "write how often it is injected");
+        fields.time("shortest_ms", fault.shortest, milliseconds(1), 0, kMaxMs);
+        fields.time("longest_ms", fault.longest, milliseconds(1), 0, kMaxMs);
         fields.finish();
         if (fault.shortest > fault.longest) {
             fields.problem("shortest_ms", "the shortest is above the longest",
@@ -550,25 +550,25 @@
 }
 
 void deployment_reader::read_bounds() {
-    constexpr uint64_t kMostMs = 600'000;
+    constexpr uint64_t kMaxMs = 600'000;
     const Duration ms = milliseconds(1);
     bound_options &bounds = result_.bounds;
     table_reader fields = section("bounds");
-    fields.time("ended_job_ms", bounds.ended_job, ms, 1, kMostMs);
-    fields.time("acknowledgement_ms", bounds.acknowledgement, ms, 1, kMostMs);
-    fields.time("leaving_ms", bounds.leaving, ms, 1, kMostMs);
-    fields.time("contact_ms", bounds.contact, ms, 1, kMostMs);
-    fields.time("finish_ms", bounds.finish, ms, 1, kMostMs);
-    fields.time("lag_ms", bounds.lag, ms, 1, kMostMs);
+    fields.time("ended_job_ms", bounds.ended_job, ms, 1, kMaxMs);
+    fields.time("acknowledgement_ms", bounds.acknowledgement, ms, 1, kMaxMs);
+    fields.time("leaving_ms", bounds.leaving, ms, 1, kMaxMs);
+    fields.time("contact_ms", bounds.contact, ms, 1, kMaxMs);
+    fields.time("finish_ms", bounds.finish, ms, 1, kMaxMs);
+    fields.time("lag_ms", bounds.lag, ms, 1, kMaxMs);
     fields.finish();
 }
 
 void deployment_reader::read_floors() {
-    constexpr uint64_t kMostTested = 1'000'000'000;
+    constexpr uint64_t kMaxTested = 1'000'000'000;
     table_reader fields = section("floors");
     for (const check_kind kind : all_checks()) {
         uint64_t floor = 0;
-        fields.whole(check_name(kind), floor, 0, kMostTested);
+        fields.whole(check_name(kind), floor, 0, kMaxTested);
         if (fields.has(check_name(kind))) {
             result_.floors[check_name(kind)] = floor;
         }
@@ -581,10 +581,10 @@
         top_.problem("worker_processes", "there are more processes than workers",
                      "write " + std::to_string(result_.workers()) + " at most");
     }
-    if (result_.processes() > kMostProcesses) {
+    if (result_.processes() > kMaxProcesses) {
         top_.problem("nodes",
                      std::to_string(result_.processes()) + " processes are more than the " +
-                         std::to_string(kMostProcesses) + " that a machine bears",
+                         std::to_string(kMaxProcesses) + " that a machine supports",
                      "write fewer nodes, worker_processes or callers.processes");
     }
 }
--- a/tests/soak/fleet/deployment.h
+++ b/tests/soak/fleet/deployment.h
@@ -2,9 +2,9 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_DEPLOYMENT_H
 
 /** \file
- * What the fleet soak runs: places, processes, routes, load, faults and what is asked of the run.
- * Read from a TOML file (tests/soak/deployments), which is refused where it makes no sense: a
- * misspelled bound would pass as a check that never fails.
+ * The configuration of a fleet soak: zones, processes, routes, load, faults and the bounds that the
+ * run must keep. Read from a TOML file (tests/soak/deployments) and rejected if it is inconsistent:
+ * a misspelled bound would otherwise result in a check that never fails.
  */
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 namespace chalkshed::soak {
 
-/** Lengths in bytes or counts, drawn evenly from `fewest` to `most`. */
+/** Lengths in bytes or counts, drawn uniformly from `fewest` to `most`. */
 struct range {
     uint64_t fewest = 0;
     uint64_t most = 0;
@@ -26,15 +26,16 @@
 
 struct service_options {
     std::string name;
-    /** Emulated workers at the start, spread over the zones in turn. */
+    /** Emulated workers at the start, assigned to the zones round-robin. */
     uint64_t workers = 0;
-    /** Requests that one worker works on at once; a few more wait, the rest is refused. */
+    /** Requests that one worker processes concurrently; a few more are queued, the rest is refused.
+     */
     uint64_t slots = 8;
-    /** Events of an answer on a streaming route or of an item. */
+    /** Events in the answer to a streaming request or an item. */
     uint64_t events = 12;
     Duration first_event = std::chrono::milliseconds(100);
     Duration between_events = std::chrono::milliseconds(40);
-    /** Of 100 answers, so many are sent before the body has been read. */
+    /** Percentage of answers that are sent before the request body has been read. */
     uint64_t early_answer_percent = 0;
 };
 
@@ -48,17 +49,17 @@
     Duration timeout = std::chrono::seconds(8);
     Duration target = std::chrono::milliseconds(500);
     uint64_t priority = 0;
-    /** Whether a run may be continued at another worker; without it a streaming request must run
+    /** Whether another worker may continue a run; otherwise a streaming request must run at most
      * once. */
     bool resumable = false;
-    /** Batch: when all results are due, and when an item may be given up. */
+    /** Batch: when all results are due, and after which time an item may be dropped. */
     Duration run_target = std::chrono::seconds(18);
     Duration retention = std::chrono::seconds(300);
-    /** Batch: tokens that may wait; no limit without it. */
+    /** Batch: limit of the queued tokens; no limit if unset. */
     std::optional<uint64_t> max_queued_tokens;
-    /** Requests or, on a batch route, jobs a second. */
+    /** Requests, or on a batch route jobs, per second. */
     double per_second = 0;
-    /** Bytes of each request's or item's body. */
+    /** Body length in bytes of each request or item. */
     range body;
     /** Batch: items of a job. */
     range items{1, 1};
@@ -66,16 +67,16 @@
     uint64_t tokens_per_item = 10;
 };
 
-/** How callers behave; each share is of 100. */
+/** The behaviour of callers; shares are percentages. */
 struct caller_options {
     uint64_t processes = 1;
-    /** Requests on connections that are kept until the node is gone. */
+    /** Requests on connections that are reused until the node is gone. */
     uint64_t kept_percent = 33;
-    /** Bodies that are sent in chunks. */
+    /** Bodies that are sent with chunked transfer encoding. */
     uint64_t chunked_percent = 20;
-    /** Requests whose caller leaves before the answer is whole. */
+    /** Requests whose caller disconnects before the answer is complete. */
     uint64_t leave_percent = 2;
-    /** Jobs that are sent to several nodes at the same time under one id. */
+    /** Jobs that are sent to several nodes at the same time with one id. */
     uint64_t several_nodes_percent = 20;
     /** Jobs that are sent again while an earlier attempt is still open. */
     uint64_t again_while_open_percent = 10;
@@ -84,17 +85,17 @@
     /** Jobs that are ended within `end_soon` of their 202. */
     uint64_t end_soon_percent = 10;
     Duration end_soon = std::chrono::milliseconds(600);
-    /** Jobs whose callers end them without having seen a 202. */
+    /** Jobs whose callers end them before they receive a 202. */
     uint64_t end_unseen_percent = 5;
     /** Jobs that are ended at two nodes at the same time. */
     uint64_t end_twice_percent = 5;
-    /** Contents of each caller process that end each worker that begins one, and how often each of
-     * them is sent. */
+    /** Number of contents per caller process that terminate every worker that starts one, and how
+     * often each of them is sent. */
     uint64_t fatal_contents = 0;
     double fatal_per_minute = 60;
 };
 
-/** A kind of fault and how often it comes. */
+/** A kind of fault and how often it is injected. */
 struct fault_options {
     std::string kind; // one of fault_kinds()
     double per_minute = 0;
@@ -102,32 +103,32 @@
     Duration longest = std::chrono::seconds(5);
 };
 
-/** What the run is asked to keep, as the checks judge it. */
+/** The bounds that the checks apply to the run. */
 struct bound_options {
-    /** Nothing of a job begins later than this after its end was acknowledged. */
+    /** No item of a job starts later than this after its end was acknowledged. */
     Duration ended_job = std::chrono::seconds(3);
-    /** An end that nobody acknowledged counts as acknowledged so long after it was sent. */
+    /** An end that was not acknowledged counts as acknowledged this long after it was sent. */
     Duration acknowledgement = std::chrono::seconds(6);
-    /** A leaving worker gets nothing later than this. */
+    /** A leaving worker gets no request later than this. */
     Duration leaving = std::chrono::seconds(3);
-    /** What happens to a node or its store excuses it for so long afterwards. */
+    /** A disturbance of a node or its store excuses the node for this long afterwards. */
     Duration contact = std::chrono::seconds(4);
-    /** An accepted job that nobody ended lists all items so long after its 202. */
+    /** An accepted job that was not ended lists all items this long after its 202. */
     Duration finish = std::chrono::seconds(60);
-    /** A run whose rig's timers came later than this, at the 99th of 100, is invalid. */
+    /** A run is invalid if the 99th percentile of the timer lag of a test process exceeds this. */
     Duration lag = std::chrono::milliseconds(50);
 };
 
 struct deployment {
     std::vector<std::string> zones;
-    /** Node processes, spread over the zones in turn. */
+    /** Node processes, assigned to the zones round-robin. */
     uint64_t nodes = 0;
     /** Processes that emulate the workers. */
     uint64_t worker_processes = 1;
-    /** What the store takes for an answer. */
+    /** The latency of the store's answers. */
     Duration store_answer = std::chrono::milliseconds(4);
     Duration store_history = std::chrono::seconds(20);
-    /** How long faults and load come, and how long all may settle afterwards. */
+    /** How long load and faults last, and how long the system may settle afterwards. */
     Duration length = std::chrono::seconds(60);
     Duration settle = std::chrono::seconds(40);
     std::vector<service_options> services;
@@ -135,7 +136,7 @@
     caller_options callers;
     std::vector<fault_options> faults;
     bound_options bounds;
-    /** How often a check must really have been tested, by check_name(); see checks.h. */
+    /** The least number of tested cases of a check, by check_name(); see checks.h. */
     std::map<std::string, uint64_t> floors;
 
     /** \return All processes of the run: nodes, workers, callers, store and coordinator. */
@@ -143,13 +144,13 @@
     uint64_t workers() const;
 };
 
-/** The kinds of faults that a file may name. */
+/** The fault kinds that a file may use. */
 const std::vector<std::string> &fault_kinds();
 
 /** What is wrong with a deployment file, and what to write instead. */
 struct deployment_problem {
     std::string file;
-    /** 0 where a field is missing altogether. */
+    /** 0 if there is no line to report. */
     uint64_t line = 0;
     std::string field;
     std::string message;
@@ -161,7 +162,7 @@
 
 using deployment_result = tl::expected<deployment, std::vector<deployment_problem>>;
 
-/** Reads TOML; `file` is only named in problems. \return The deployment, or all problems. */
+/** Reads TOML; `file` is only used in problems. \return The deployment, or all problems. */
 deployment_result parse_deployment(std::string_view text, const std::string &file);
 
 deployment_result read_deployment(const std::string &file);
--- a/tests/soak/fleet/expected_answers.cc
+++ b/tests/soak/fleet/expected_answers.cc
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr char kItemSeparator = '-';
-constexpr std::string_view kFatalMark = "ends its worker ";
+constexpr std::string_view kFatalPrefix = "ends its worker ";
 constexpr size_t kEventBytes = 75;
 constexpr size_t kPlainBytes = 800;
 
-std::string filled(std::string text, size_t length) {
+std::string pad_by_repetition(std::string text, size_t length) {
     const std::string unit = text + " ";
     text += ' ';
     while (text.size() < length) {
@@ -53,11 +53,11 @@
 }
 
 run_fate fate_of_run(const std::string &id) {
-    constexpr uint64_t kOneIn = 100;
+    constexpr uint64_t kFateBuckets = 100;
     if (!is_item(id)) {
         return run_fate::kCompletes;
     }
-    switch (content_hash(id) % kOneIn) {
+    switch (content_hash(id) % kFateBuckets) {
     case 0:
         return run_fate::kFails;
     case 1:
@@ -68,7 +68,7 @@
 }
 
 std::string event_text(const std::string &id, uint64_t event) {
-    return filled(id + "." + std::to_string(event), kEventBytes);
+    return pad_by_repetition(id + "." + std::to_string(event), kEventBytes);
 }
 
 std::string event_bytes(const std::string &id, uint64_t event) {
@@ -84,15 +84,15 @@
 }
 
 std::string plain_body(const std::string &id) {
-    return filled(id, kPlainBytes);
+    return pad_by_repetition(id, kPlainBytes);
 }
 
 std::string fatal_body(uint64_t caller, uint64_t number) {
-    return std::string(kFatalMark) + std::to_string(caller) + "-" + std::to_string(number);
+    return std::string(kFatalPrefix) + std::to_string(caller) + "-" + std::to_string(number);
 }
 
 bool is_fatal(const std::string &body) {
-    return body.starts_with(kFatalMark);
+    return body.starts_with(kFatalPrefix);
 }
 
 std::string request_body(const std::string &id, uint64_t length) {
--- a/tests/soak/fleet/history.cc
+++ b/tests/soak/fleet/history.cc
@@ -5,7 +5,7 @@
 namespace chalkshed::soak {
 namespace {
 
-/** Merges what overlaps, so that one binary search answers a question. */
+/** Merges overlapping intervals, so that one binary search answers a query. */
 std::vector<interval> merged(std::vector<interval> times) {
     std::sort(times.begin(), times.end(),
               [](const interval &one, const interval &other) { return one.from < other.from; });
@@ -66,18 +66,18 @@
     for (interval &each : times) {
         each.to += contact;
     }
-    MonotonicTime calm_since = from;
+    MonotonicTime undisturbed_since = from;
     for (const interval &each : merged(std::move(times))) {
-        if (each.to <= calm_since) {
+        if (each.to <= undisturbed_since) {
             continue;
         }
-        if (each.from >= calm_since + length) {
+        if (each.from >= undisturbed_since + length) {
             break;
         }
-        length -= std::max(Duration(0), each.from - calm_since);
-        calm_since = each.to;
+        length -= std::max(Duration(0), each.from - undisturbed_since);
+        undisturbed_since = each.to;
     }
-    return calm_since + length;
+    return undisturbed_since + length;
 }
 
 std::optional<MonotonicTime> job_history::accepted() const {
@@ -108,7 +108,8 @@
     join_runs();
 }
 
-/** A run's send may stand behind it in the records, where clocks are read a little late. */
+/** Called after all records are added: a run's send may follow it in the records, because the clock
+ * may be read slightly late. */
 void run_history::join_runs() {
     for (const run_begin *run : runs) {
         const auto item = items.find(run->id);
@@ -124,23 +125,23 @@
 }
 
 std::string run_history::node_of(const run_begin &run) const {
-    const life *sender = life_of(run);
+    const address_owner *sender = sender_of(run);
     return sender == nullptr ? std::string() : sender->node;
 }
 
 bool run_history::sent_by_production(const run_begin &run) const {
-    const life *sender = life_of(run);
+    const address_owner *sender = sender_of(run);
     return sender != nullptr && sender->production;
 }
 
-const run_history::life *run_history::life_of(const run_begin &run) const {
-    const auto found = lives_.find(run.sender_ip);
-    if (found == lives_.end()) {
+const run_history::address_owner *run_history::sender_of(const run_begin &run) const {
+    const auto found = address_owners_.find(run.sender_ip);
+    if (found == address_owners_.end()) {
         return nullptr;
     }
-    const auto after =
-        std::upper_bound(found->second.begin(), found->second.end(), run.at,
-                         [](MonotonicTime at, const life &each) { return at < each.from; });
+    const auto after = std::upper_bound(
+        found->second.begin(), found->second.end(), run.at,
+        [](MonotonicTime at, const address_owner &each) { return at < each.from; });
     return after == found->second.begin() ? nullptr : &*std::prev(after);
 }
 
@@ -206,7 +207,7 @@
 }
 
 void run_history::add(const node_start &entry) {
-    lives_[entry.ip].push_back({entry.at, entry.name, entry.production});
+    address_owners_[entry.ip].push_back({entry.at, entry.name, entry.production});
     disturbed.add(disturbed_part::kNode, entry.name, {entry.at, entry.at});
 }
 
--- a/tests/soak/fleet/history.h
+++ b/tests/soak/fleet/history.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_HISTORY_H
 
 /** \file
- * The records of a run joined by request, job, item, worker and node, each by one look-up. All
- * pointers lead into the records that the history was made of, which must outlive it.
+ * The records of a run indexed by request, job, item, worker and node. All pointers refer to the
+ * records that the history was built from, which must outlive it.
  */
 
 #include <map>
@@ -22,19 +22,19 @@
     MonotonicTime to{};
 };
 
-/** When parts were disturbed. */
+/** The times at which faults were injected, by part. */
 class disturbance_times {
 public:
     void add(disturbed_part part, const std::string &target, interval when);
-    /** Sorts and merges what was added; to be called before any question. */
+    /** Sorts and merges the added intervals; must be called before any query. */
     void close();
 
-    /** Whether anything was done between `from` and `to` to the node, its link, or the store for
-     * it. */
+    /** Whether a fault affected the node, its link, or its access to the store within the
+     * interval. */
     bool node_disturbed(const std::string &node, interval when) const;
     bool worker_disturbed(const std::string &worker, interval when) const;
-    /** \return The first moment by which the store has been calm for `length` since `from`; calm
-     * begins again `contact` after each disturbance of it. */
+    /** \return The earliest time by which the store has been undisturbed for `length` in total
+     * since `from`; it counts as undisturbed again `contact` after the end of each disturbance. */
     MonotonicTime after_calm_store(MonotonicTime from, Duration length, Duration contact) const;
 
 private:
@@ -57,9 +57,9 @@
     std::vector<const end_send *> ends;
     std::vector<const end_answer *> end_answers;
     std::vector<const listed_item *> listed;
-    std::vector<const run_begin *> runs; // of all its items
+    std::vector<const run_begin *> runs; // the runs of all its items
 
-    /** Distinct items over all sends. */
+    /** The number of distinct items over all sends. */
     uint64_t items = 0;
 
     /** \return When it was first accepted or its end first acknowledged, if ever. */
@@ -70,7 +70,7 @@
 struct item_history {
     std::string job;
     MonotonicTime first_sent{};
-    /** As the job's sends carried it; one unless they differ. */
+    /** The distinct messages among the job's sends; one unless they differ. */
     std::vector<const carried_message *> messages;
 };
 
@@ -78,11 +78,11 @@
 public:
     explicit run_history(const std::vector<record> &records);
 
-    /** \return The node whose process had that address at the time, or an empty name. */
+    /** \return The node whose process had the sender's address at the time, or an empty name. */
     std::string node_of(const run_begin &run) const;
     /** Whether the node that sent it ran the older of two builds. */
     bool sent_by_production(const run_begin &run) const;
-    /** \return How the run ended, or nothing if its worker never said so. */
+    /** \return How the run ended, or null if its worker never recorded an end. */
     const run_end *end_of(const run_begin &run) const;
 
     std::map<std::string, request_history> requests;
@@ -91,24 +91,25 @@
     std::vector<const run_begin *> runs;
     /** When the store accepted that a worker leaves. */
     std::unordered_map<std::string, MonotonicTime> leaving;
-    /** When workers ended by each fatal content, in the order of time. */
+    /** When workers terminated because of each fatal content, in the order of time. */
     std::map<std::string, std::vector<MonotonicTime>> fatal_ends;
-    /** Worker and request of each run under which a worker so ended. */
+    /** Worker and request of each run that terminated its worker in this way. */
     std::set<std::pair<std::string, std::string>> fatal_runs;
     disturbance_times disturbed;
-    /** The worst of each rig process. */
+    /** The highest lag of each test process. */
     std::map<std::string, process_lag> lags;
     MonotonicTime first{};
     MonotonicTime last{};
 
 private:
-    struct life {
+    struct address_owner {
         MonotonicTime from{};
         std::string node;
         bool production = false;
     };
-    /** \return The life of the node that sent the run; null where none is known. */
-    const life *life_of(const run_begin &run) const;
+    /** \return The process that owned the sender's address at the time of the run; null if unknown.
+     */
+    const address_owner *sender_of(const run_begin &run) const;
 
     void add(const online_send &entry);
     void add(const online_answer &entry);
@@ -128,7 +129,8 @@
     void add(const fatal_end &entry);
     void join_runs();
 
-    std::unordered_map<std::string, std::vector<life>> lives_; // by address, in the order of time
+    std::unordered_map<std::string, std::vector<address_owner>>
+        address_owners_; // by address, in the order of time
     std::map<std::pair<std::string, uint64_t>, const run_end *> ends_; // by worker and run
 };
 
--- a/tests/soak/fleet/records.cc
+++ b/tests/soak/fleet/records.cc
@@ -20,8 +20,8 @@
 using nlohmann::json;
 
 constexpr const char *kKindField = "record";
-/** Beyond this many bytes the lines are written without waiting for the next flush. */
-constexpr size_t kMostPending = 1U << 20U;
+/** Above this many buffered bytes, lines are written without waiting for the next flush. */
+constexpr size_t kMaxPendingBytes = 1U << 20U;
 
 std::string lower(std::string_view text) {
     std::string result(text);
@@ -44,12 +44,12 @@
 Choice choice_of(const std::vector<std::string> &names, const std::string &name) {
     const auto found = std::find(names.begin(), names.end(), name);
     if (found == names.end()) {
-        throw std::invalid_argument("\"" + name + "\" is not known");
+        throw std::invalid_argument("\"" + name + "\" is unknown");
     }
     return static_cast<Choice>(found - names.begin());
 }
 
-/** Puts the fields of a record into a JSON object. */
+/** Writes the fields of a record to a JSON object. */
 class field_writer {
 public:
     template <class Value> void operator()(const char *name, const Value &value) {
@@ -73,7 +73,7 @@
     json object = json::object();
 };
 
-/** Takes the fields of a record from a JSON object; throws where one is missing or of another
+/** Reads the fields of a record from a JSON object; throws if one is missing or has another
  * type. */
 class field_reader {
 public:
@@ -100,7 +100,7 @@
     const json &object_;
 };
 
-// The fields of each type, named once for writing and reading.
+// The fields of each type, listed once for both writing and reading.
 
 template <class Visitor, class Message> void visit_message(Visitor &visit, Message &value) {
     visit("method", value.method);
@@ -222,7 +222,7 @@
 
 template <size_t Index = 0> record parse_as(const std::string &kind, const json &object) {
     if constexpr (Index == std::variant_size_v<record>) {
-        throw std::invalid_argument("the record \"" + kind + "\" is not known");
+        throw std::invalid_argument("the record \"" + kind + "\" is unknown");
     } else {
         if (kind != kKinds[Index]) {
             return parse_as<Index + 1>(kind, object);
@@ -236,8 +236,8 @@
 
 Error unreadable(std::string message) {
     return not_run(ErrorKind::kInvalidRequest, std::move(message),
-                   "keep the folder and run the soak again: no check is made on half of the "
-                   "records");
+                   "keep the folder and run the soak again: incomplete records are not "
+                   "checked");
 }
 
 Expected<std::vector<record>> read_file(const std::filesystem::path &file) {
@@ -324,7 +324,7 @@
 void record_writer::add(const record &entry) {
     pending_ += write_record(entry);
     pending_ += '\n';
-    if (pending_.size() > kMostPending) {
+    if (pending_.size() > kMaxPendingBytes) {
         flush();
     }
 }
@@ -338,7 +338,7 @@
             continue;
         }
         if (count < 0) {
-            break; // a full disk: the reader reports the torn line
+            break; // such as a full disk: the reader reports the truncated line
         }
         written += static_cast<size_t>(count);
     }
@@ -349,7 +349,7 @@
     std::vector<record> all;
     const std::filesystem::path records = std::filesystem::path(folder) / "records";
     if (!std::filesystem::is_directory(records)) {
-        return tl::unexpected(unreadable(records.string() + " is not there"));
+        return tl::unexpected(unreadable(records.string() + " does not exist"));
     }
     for (const auto &entry : std::filesystem::directory_iterator(records)) {
         if (entry.path().extension() != ".jsonl") {
--- a/tests/soak/fleet/records.h
+++ b/tests/soak/fleet/records.h
@@ -2,9 +2,9 @@
 #define CHALKSHED_TESTS_SOAK_FLEET_RECORDS_H
 
 /** \file
- * What the processes of the fleet soak write down while they run, one JSON object a line and one
- * file a process: FOLDER/records/<role>-<number>.jsonl. The checks join these files afterwards, so
- * that no check costs the load any time.
+ * The records that the processes of the fleet soak write while they run, one JSON object per line
+ * and one file per process: FOLDER/records/<role>-<number>.jsonl. The checks join these files after
+ * the run, so that checking does not slow the load down.
  *
  * All times are read from SystemTimeSource, whose clock all processes of one machine share.
  */
@@ -20,25 +20,25 @@
 
 namespace chalkshed::soak {
 
-/** What of a request must arrive at the worker unchanged. */
+/** The parts of a request that must reach the worker unchanged. */
 struct carried_message {
     std::string method;
     std::string path;
     std::string query;
-    /** content_digest() of the body: it tells bodies of the same length apart. */
+    /** content_digest() of the body; distinguishes bodies of equal length. */
     std::string body_digest;
     uint64_t body_length = 0;
-    /** Of the names in carried_header_names(); sorted by name, which stands in lower case. */
+    /** The headers named in carried_header_names(), with names in lower case, sorted by name. */
     std::vector<std::pair<std::string, std::string>> headers;
 
     bool operator==(const carried_message &) const = default;
 };
 
-/** The headers that callers and workers both note. A header that a caller didn't send and a worker
- * got shows as a difference too. */
+/** The headers that both callers and workers record. A header that a worker received and the caller
+ * did not send is a difference too. */
 const std::vector<std::string> &carried_header_names();
 
-/** What callers note of the request they send, and workers of the one they get. */
+/** The message as callers record it when they send it and workers when they receive it. */
 carried_message describe(const HttpRequest &request);
 
 /** A caller is about to write a request; `at` is read before the first byte is written. */
@@ -47,9 +47,9 @@
     std::string id;
     std::string node;
     carried_message message;
-    /** Its route allows one run at most. */
+    /** Its route allows at most one run. */
     bool once = false;
-    /** It goes out on a connection that was used before. */
+    /** It is sent on a connection that was used before. */
     bool kept = false;
 };
 
@@ -58,12 +58,13 @@
     MonotonicTime at{};
     std::string id;
     int status = 0; // 0: the connection ended before a status came
-    /** The answer ended as its framing says. */
+    /** The answer is complete according to its HTTP framing. */
     bool whole = false;
-    /** It has the request's id and signature and, where it is whole, the whole text due to it;
-     * where it isn't, what came is the beginning of that text. */
+    /** It has the request's id and signature and, if it is whole, the expected text; if it is not,
+     * what was received is a prefix of that text. */
     bool matches = false;
-    /** The request was not run since earlier ones of its content ended their workers. */
+    /** The request was not run because earlier requests with its content terminated their workers.
+     */
     bool held = false;
 };
 
@@ -73,14 +74,14 @@
     std::string id;
 };
 
-/** An item as its job carries it; the worker gets it as a POST. */
+/** An item as submitted in its job; the worker receives it as a POST. */
 struct sent_item {
     std::string id;
     carried_message message;
 };
 
-/** A job is about to be written to one node. The pair of job and attempt is never used twice, also
- * where attempts overlap. */
+/** A job is about to be written to one node. Each pair of job and attempt is unique, even if
+ * attempts overlap. */
 struct job_send {
     MonotonicTime at{};
     std::string job;
@@ -89,7 +90,7 @@
     std::vector<sent_item> items;
 };
 
-/** How one attempt ended. An attempt without a job_answer may have been taken. */
+/** How one attempt ended. An attempt without a job_answer may have been accepted. */
 struct job_answer {
     MonotonicTime at{};
     std::string job;
@@ -98,14 +99,15 @@
     int status = 0; // 0: no answer
 };
 
-/** An end of a job is about to be written to one node. Callers send it until it is acknowledged. */
+/** An end of a job is about to be written to one node. Callers repeat it until it is acknowledged.
+ */
 struct end_send {
     MonotonicTime at{};
     std::string job;
     std::string node;
 };
 
-/** The answer to an end; `at` is read as its head has arrived. */
+/** The answer to an end; `at` is read once its header has arrived. */
 struct end_answer {
     MonotonicTime at{};
     std::string job;
@@ -113,18 +115,18 @@
     int status = 0; // 0: no answer
 };
 
-/** One result as one reading of a job listed it. */
+/** One result as listed by one read of a job. */
 struct listed_item {
     MonotonicTime at{};
     std::string job;
     uint64_t position = 0;
     std::string item;
     bool completed = false;
-    /** A completed item's text is the item's whole output. */
+    /** Whether the text of a completed item is its whole output. */
     bool text_ok = false;
 };
 
-/** A worker has read a request and begins to work on it. */
+/** A worker has read a request and starts to process it. */
 struct run_begin {
     MonotonicTime at{};
     /** Unique in its worker process. */
@@ -135,14 +137,14 @@
     carried_message message;
     /** The Last-Event-Id; 0 without one. */
     uint64_t resume_after = 0;
-    /** Of the node that sent it. */
+    /** The address of the node that sent it. */
     std::string sender_ip;
 };
 
 enum class run_outcome {
     kWhole,  /**< the whole answer was written */
-    kFailed, /**< a status that says that the item or request failed */
-    kBroken, /**< the worker broke it off, crashed or kept silent, as a fault */
+    kFailed, /**< a status that reports the item or request as failed */
+    kBroken, /**< by an injected fault, the worker aborted it, crashed or stopped responding */
     kLeft    /**< the sender closed the connection first */
 };
 
@@ -154,7 +156,7 @@
     run_outcome outcome = run_outcome::kWhole;
 };
 
-/** A node's process was started, for the first time or again. */
+/** A node's process was started or restarted. */
 struct node_start {
     MonotonicTime at{};
     std::string name;
@@ -166,25 +168,25 @@
 
 enum class disturbed_part { kNode, kStore, kWorker, kLink };
 
-/** Something was done to a part from `at` until `to`. Written as it begins with the planned end; a
- * later record of the same part adds to it. */
+/** A fault was injected into a part from `at` until `to`. Written at its start with the planned
+ * end; a later record of the same part adds to it. */
 struct disturbance {
     MonotonicTime at{};
     MonotonicTime to{};
     std::string kind;
     disturbed_part part = disturbed_part::kNode;
     /** A node's or worker's name; for a link the name of its node. For the store the node that it
-     * turns away, or empty where it holds for all nodes. */
+     * refuses, or empty if it affects all nodes. */
     std::string target;
 };
 
-/** The store has accepted that the worker leaves: it said so, or its entry is gone. */
+/** The store has accepted that the worker leaves: its entry says so or was removed. */
 struct worker_leaving {
     MonotonicTime at{};
     std::string worker;
 };
 
-/** The worker ends since it began a request whose content ends each worker. */
+/** The worker terminates because it started a request whose content terminates every worker. */
 struct fatal_end {
     MonotonicTime at{};
     std::string worker;
@@ -199,7 +201,8 @@
     uint64_t version = 0;
 };
 
-/** How late timers of a rig process came, over its whole run or since its last such record. */
+/** How late the timers of a test process fired, over its whole run or since its last such record.
+ */
 struct process_lag {
     MonotonicTime at{};
     std::string process;
@@ -213,20 +216,20 @@
                             end_answer, listed_item, run_begin, run_end, node_start, disturbance,
                             worker_leaving, configuration_written, process_lag, fatal_end>;
 
-/** \return The record as one line without its line feed. */
+/** \return The record as one line without a line feed. */
 std::string write_record(const record &entry);
 
 /** Reads one line. \return Its record, or what is wrong with it. */
 Expected<record> read_record(std::string_view line);
 
-/** Appends records to one file. Lines gather in memory, so that a burst costs one write; the owner
- * calls flush() each kFlushInterval, and the destructor does at the end. A process that is killed
- * loses what it wrote since, so only the rig's own processes write records. */
+/** Appends records to one file. Lines are buffered in memory, so that a burst needs one write; the
+ * owner calls flush() every kFlushInterval, and the destructor flushes too. A killed process loses
+ * its buffered records, so only the soak's own processes, which are not killed, write records. */
 class record_writer {
 public:
     static constexpr Duration kFlushInterval = std::chrono::milliseconds(100);
 
-    /** Opens FOLDER/records/<role>-<number>.jsonl; throws std::runtime_error with the remedy when
+    /** Opens FOLDER/records/<role>-<number>.jsonl; throws std::runtime_error with a remedy if
      * that fails. */
     record_writer(const std::string &folder, const std::string &role, uint64_t number);
     ~record_writer();
@@ -242,11 +245,11 @@
     std::string pending_;
 };
 
-/** All records of FOLDER/records in the order of their times. \return An error that names file and
- * line where one can't be read: a check over half of the records would say too little. */
+/** All records of FOLDER/records in the order of their times. \return An error with file and line
+ * if one can't be read: checks on incomplete records would be inconclusive. */
 Expected<std::vector<record>> read_records(const std::string &folder);
 
-/** \return When what the record tells of happened. */
+/** \return The time of the recorded event. */
 MonotonicTime time_of(const record &entry);
 
 } // namespace chalkshed::soak
--- a/tests/soak_fleet/checks_test.cc
+++ b/tests/soak_fleet/checks_test.cc
@@ -1,5 +1,5 @@
 /** \file
- * Each check of the fleet soak passes sound records and fails a falsified one.
+ * Each check of the fleet soak passes valid records and reports a violation in modified ones.
  */
 
 #include "tests/soak/fleet/checks.h"
@@ -25,8 +25,8 @@
     return {"POST", path, "", "digest of " + path, 15000, {{"x-soak-note", path}}};
 }
 
-/** A run in which each check's case comes up and nothing is wrong. Nodes n-1 and n-2 have the
- * addresses 127.0.0.1 and 127.0.0.2. */
+/** The records of a run in which the case of each check occurs and no check fails. Nodes n-1 and
+ * n-2 have the addresses 127.0.0.1 and 127.0.0.2. */
 class fleet_checks : public ::testing::Test {
 protected:
     fleet_checks() {
@@ -82,7 +82,7 @@
         add(online_answer{at(44'500), "r-4", 200, true, true});
     }
 
-    /** One that ends three workers and a fourth a while later. */
+    /** A content that terminates three workers and, after the contact time, a fourth. */
     void add_fatal_content() {
         for (int64_t second = 50; second < 53; ++second) {
             send_fatal(second * 1000);
@@ -152,7 +152,7 @@
         return check_records(records_, deployment_);
     }
 
-    /** Expects that this check found so much and no other check anything. */
+    /** Expects these counts from this check and no violations from others. */
     void expect_found(check_kind kind, uint64_t violations, uint64_t excused = 0) {
         const check_report report = judge();
         std::ostringstream printed;
@@ -163,7 +163,7 @@
         EXPECT_EQ(report.passed(), violations == 0) << printed.str();
     }
 
-    /** Expects that these checks found so much and no other check anything. */
+    /** Expects these violations by check and none from other checks. */
     void expect_all_found(const std::map<check_kind, uint64_t> &violations) {
         const check_report report = judge();
         for (const check_kind kind : all_checks()) {
@@ -180,7 +180,7 @@
     uint64_t fatal_ = 0;
 };
 
-TEST_F(fleet_checks, pass_sound_records_and_count_each_case) {
+TEST_F(fleet_checks, pass_valid_records_and_count_each_case) {
     const check_report report = judge();
     for (const check_kind kind : all_checks()) {
         EXPECT_EQ(report.checks.at(kind).violations, 0U) << check_name(kind);
@@ -193,7 +193,7 @@
     EXPECT_EQ(report.checks.at(check_kind::kListing).tested, 2U);
 }
 
-// Each id that ran had been sent.
+// Every id that ran was sent before.
 
 TEST_F(fleet_checks, a_run_that_nobody_sent_is_found) {
     begin(50'000, "r-never", message("/once/1"));
@@ -210,7 +210,7 @@
     expect_found(check_kind::kSent, 1);
 }
 
-// What runs is what was sent.
+// Requests reach workers unchanged.
 
 TEST_F(fleet_checks, each_changed_part_of_a_request_is_found) {
     const std::vector<std::function<void(carried_message &)>> changes = {
@@ -238,7 +238,7 @@
     expect_found(check_kind::kUnaltered, 1);
 }
 
-// What was refused doesn't run.
+// Refused requests and jobs do not run.
 
 TEST_F(fleet_checks, a_refused_request_that_runs_is_found_before_and_after_its_answer) {
     for (const int status : {429, 503, 408, 421}) {
@@ -293,7 +293,7 @@
     EXPECT_EQ(report.checks.at(check_kind::kRefusedJob).violations, 0U);
 }
 
-// An ended job does nothing more.
+// No item of an ended job starts.
 
 TEST_F(fleet_checks, an_item_within_the_bound_of_its_jobs_end_is_sound) {
     begin_item(23'600, "j-ended-1");
@@ -392,8 +392,9 @@
     expect_found(check_kind::kUnansweredEnd, 1);
 }
 
-TEST_F(fleet_checks, the_deadline_of_an_end_counts_calm_time_of_the_store_alone) {
-    // Calm for 0.5 s, then not until 4 s after 33 s: the deadline is 37 s + 5.5 s.
+TEST_F(fleet_checks, the_deadline_of_an_end_counts_only_undisturbed_time_of_the_store) {
+    // The store is undisturbed for 0.5 s and again from 37 s on, 4 s after the disturbance ends at
+    // 33 s: the deadline is 37 s + 5.5 s.
     disturb(31'000, 33'000, disturbed_part::kStore, "");
     begin_item(45'500, "j-unheard-1");
     expect_found(check_kind::kUnansweredEnd, 0);
@@ -416,7 +417,7 @@
     expect_found(check_kind::kUnansweredEnd, 1);
 }
 
-// Once.
+// Requests that may run only once.
 
 TEST_F(fleet_checks, a_second_run_of_what_must_run_once_is_found) {
     begin(10'300, "r-1", message("/once/1"), "w-2");
@@ -441,7 +442,7 @@
     expect_found(check_kind::kWholeAnswer, 1);
 }
 
-TEST_F(fleet_checks, an_answer_that_is_cut_off_in_a_calm_time_is_found) {
+TEST_F(fleet_checks, an_answer_that_is_cut_off_without_a_disturbance_is_found) {
     answer_of("r-1").whole = false;
     expect_found(check_kind::kWholeAnswer, 1);
     answer_of("r-1").status = 0;
@@ -482,7 +483,7 @@
 
 TEST_F(fleet_checks, a_listing_that_changes_is_found) {
     add(listed_item{at(60'000), "j-done", 0, "j-done-1", false, false});
-    expect_found(check_kind::kListing, 1); // errored, which was completed
+    expect_found(check_kind::kListing, 1); // the item changes from completed to failed
 }
 
 TEST_F(fleet_checks, an_item_at_two_positions_is_found) {
@@ -553,7 +554,7 @@
     expect_found(check_kind::kLeavingWorker, 0, 1);
 }
 
-// What the run is worth.
+// Validity of the run and floors.
 
 TEST_F(fleet_checks, a_case_that_came_up_too_rarely_is_named) {
     for (const check_kind kind : all_checks()) {
@@ -564,7 +565,7 @@
     }
 }
 
-TEST_F(fleet_checks, a_rig_that_lags_makes_the_run_invalid) {
+TEST_F(fleet_checks, timer_lag_of_a_test_process_makes_the_run_invalid) {
     find<process_lag>([](const process_lag &) { return true; }).p99 = milliseconds(51);
     const check_report report = judge();
     EXPECT_FALSE(report.passed());
@@ -572,7 +573,7 @@
     EXPECT_NE(report.invalid.front().find("caller-1"), std::string::npos);
 }
 
-TEST_F(fleet_checks, the_worst_of_all_rig_processes_counts) {
+TEST_F(fleet_checks, the_highest_lag_of_all_test_processes_counts) {
     add(process_lag{at(90'000), "worker-1", 9, milliseconds(1), milliseconds(70), seconds(1)});
     add(process_lag{at(99'000), "worker-1", 9, milliseconds(1), milliseconds(1), milliseconds(1)});
     EXPECT_EQ(judge().worst_lag.process, "worker-1");
@@ -605,7 +606,7 @@
     EXPECT_FALSE(report.at("passed").get<bool>());
 }
 
-// What ends its workers is kept from them, and nothing else is.
+// Contents that terminate workers are withheld from them, and no other requests.
 
 TEST_F(fleet_checks, a_fatal_content_that_reaches_a_fourth_worker_late_is_found) {
     for (int64_t second = 59; second < 62; ++second) {
@@ -622,7 +623,7 @@
     expect_found(check_kind::kFatalContent, 0);
 }
 
-// What is sent soon after the third end counts among all ends alone.
+// Runs within the contact time after the third end only count towards the total of ends.
 TEST_F(fleet_checks, a_fatal_content_may_end_workers_until_three_are_known) {
     for (int64_t ms = 53'100; ms < 55'000; ms += 200) {
         send_fatal(ms);
@@ -654,7 +655,7 @@
     expect_found(check_kind::kEndsOfContent, 0);
 }
 
-TEST_F(fleet_checks, an_innocent_request_that_is_held_is_found) {
+TEST_F(fleet_checks, an_unrelated_request_that_is_held_is_found) {
     answer_of("r-2").held = true;
     expect_found(check_kind::kInnocent, 1);
 }
--- a/tests/soak_fleet/deployment_test.cc
+++ b/tests/soak_fleet/deployment_test.cc
@@ -1,6 +1,6 @@
 /** \file
- * Deployment files of the fleet soak: the shipped ones are read, impossible ones refused with file,
- * line, field and remedy.
+ * Deployment files of the fleet soak: the shipped ones are accepted, invalid ones rejected with
+ * file, line, field and remedy.
  */
 
 #include "tests/soak/fleet/deployment.h"
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr const char *kSound = R"(zones = ["a", "b"]
+constexpr const char *kValidFile = R"(zones = ["a", "b"]
 nodes = 3
 worker_processes = 2
 
@@ -54,9 +54,9 @@
 sent = 100
 )";
 
-/** The sound file with one text replaced. */
+/** The valid file with one substring replaced. */
 std::string changed(const std::string &from, const std::string &to) {
-    std::string text = kSound;
+    std::string text = kValidFile;
     const size_t found = text.find(from);
     if (found == std::string::npos) {
         throw std::invalid_argument(from);
@@ -81,7 +81,7 @@
 }
 
 TEST(deployment_file, is_read) {
-    const deployment_result result = parse_deployment(kSound, "some.toml");
+    const deployment_result result = parse_deployment(kValidFile, "some.toml");
     ASSERT_TRUE(result) << to_string(result.error().front());
     EXPECT_EQ(result->nodes, 3U);
     EXPECT_EQ(result->workers(), 4U);
@@ -211,7 +211,7 @@
 
 INSTANTIATE_TEST_SUITE_P(all, shipped_deployment, ::testing::Values("small", "grown", "large"));
 
-TEST(shipped_deployment_sizes, are_those_of_the_page) {
+TEST(shipped_deployment_sizes, match_the_documentation) {
     const std::string folder = DEPLOYMENT_FOLDER;
     const deployment grown = *read_deployment(folder + "/grown.toml");
     EXPECT_EQ(grown.zones.size(), 3U);
--- a/tests/soak_fleet/records_test.cc
+++ b/tests/soak_fleet/records_test.cc
@@ -1,5 +1,5 @@
 /** \file
- * Records of the fleet soak survive being written and read, and nothing unreadable passes.
+ * Records of the fleet soak are unchanged by writing and reading, and unreadable ones are rejected.
  */
 
 #include "tests/soak/fleet/records.h"
@@ -22,7 +22,7 @@
     return {"POST", "/list/1", "a=b", "0123", 15000, {{"content-type", "text/plain"}}};
 }
 
-/** One of each type, each field with a value of its own. */
+/** One record of each type. */
 std::vector<record> one_of_each() {
     return {online_send{at(1), "r-1", "n-1", message(), true, true},
             online_answer{at(2), "r-1", 200, true, true, true},
@@ -93,7 +93,7 @@
     EXPECT_EQ(read_records(folder_)->size(), 1U);
 }
 
-TEST_F(fleet_records, a_torn_line_is_refused_with_file_and_line) {
+TEST_F(fleet_records, a_truncated_line_is_refused_with_file_and_line) {
     {
         record_writer writer(folder_, "worker", 3);
         writer.add(caller_left{at(20), "r-1"});
