--- a/tests/soak/connection_owner.cc
+++ b/tests/soak/connection_owner.cc
@@ -13,9 +13,9 @@
 namespace chalkshed::soak {
 namespace {
 
-/** \return The address as /proc/net/tcp writes it: the bytes of the IP number as they lie in memory
- * read as one number, and the port. */
-std::string in_table(const Address &address) {
+/** \return The address in the format of /proc/net/tcp: the IPv4 address in network byte order,
+ * printed as an integer of the host's byte order, and the port. */
+std::string proc_net_tcp_address(const Address &address) {
     in_addr number{};
     if (inet_pton(AF_INET, address.ip.c_str(), &number) != 1) {
         return {};
@@ -26,10 +26,10 @@
     return text.data();
 }
 
-/** \return The name of the socket's link below /proc/PID/fd, or an empty one. */
-std::string socket_between(const Address &local, const Address &remote) {
-    const std::string from = in_table(local);
-    const std::string to = in_table(remote);
+/** \return The target of the socket's symbolic link in /proc/PID/fd, or an empty string. */
+std::string find_socket(const Address &local, const Address &remote) {
+    const std::string from = proc_net_tcp_address(local);
+    const std::string to = proc_net_tcp_address(remote);
     std::ifstream table("/proc/net/tcp");
     std::string line;
     while (std::getline(table, line)) {
@@ -45,7 +45,7 @@
     return {};
 }
 
-bool holds(pid_t process, const std::string &socket) {
+bool has_open_socket(pid_t process, const std::string &socket) {
     std::error_code failed;
     const std::filesystem::path folder = "/proc/" + std::to_string(process) + "/fd";
     for (const auto &entry : std::filesystem::directory_iterator(folder, failed)) {
@@ -60,9 +60,9 @@
 
 std::optional<pid_t> connection_owner(const Address &local, const Address &remote,
                                       const std::vector<pid_t> &processes) {
-    const std::string socket = socket_between(local, remote);
+    const std::string socket = find_socket(local, remote);
     const auto found = std::find_if(processes.begin(), processes.end(), [&](pid_t process) {
-        return process != 0 && !socket.empty() && holds(process, socket);
+        return process != 0 && !socket.empty() && has_open_socket(process, socket);
     });
     return found == processes.end() ? std::nullopt : std::optional(*found);
 }
--- a/tests/soak/connection_owner.h
+++ b/tests/soak/connection_owner.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_TESTS_SOAK_CONNECTION_OWNER_H
 
 /** \file
- * Which process holds the other end of a connection on this machine. Connections over loopback all
- * come from 127.0.0.1, so that a worker can't tell its senders apart by their address.
+ * Finds the process at the other end of a connection on this machine. Connections over loopback all
+ * come from 127.0.0.1, so that a worker can't distinguish its senders by address.
  */
 
 #include <sys/types.h>
@@ -15,8 +15,8 @@
 
 namespace chalkshed::soak {
 
-/** \return Of `processes` the one with an open socket from `local` to `remote`, both IPv4. Reads
- * /proc, in about a millisecond: not for each message. */
+/** \return The process among `processes` with an open socket from `local` to `remote`, both IPv4.
+ * Reads /proc, which takes about a millisecond: too slow to call for every message. */
 std::optional<pid_t> connection_owner(const Address &local, const Address &remote,
                                       const std::vector<pid_t> &processes);
 
--- a/tests/soak/node_process.cc
+++ b/tests/soak/node_process.cc
@@ -58,7 +58,7 @@
     const int log = open((base + ".log").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     dup2(log, STDOUT_FILENO);
     dup2(log, STDERR_FILENO);
-    // Must not outlive the soak.
+    // The process must not outlive the soak.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (!options_.preload.empty()) {
         setenv("LD_PRELOAD", options_.preload.c_str(), 1);
--- a/tests/soak/node_process.h
+++ b/tests/soak/node_process.h
@@ -14,18 +14,18 @@
 
 namespace chalkshed::soak {
 
-/** What a node's process needs to know before it starts. */
+/** The options that a node's process is started with. */
 struct node_options {
     std::string program;
     std::string folder; // for its settings and its log
     std::string name;
     std::string zone;
-    std::string ip; // of the loopback network
+    std::string ip; // a loopback address
     Address store;
     std::string log_level = "debug";
-    /** Lines to add to its settings file. */
+    /** Lines that are appended to its settings file. */
     std::string settings = {};
-    /** A library that the process loads first; none when empty. */
+    /** The LD_PRELOAD library of the process; none if empty. */
     std::string preload = {};
 };
 
@@ -37,23 +37,23 @@
     node_process &operator=(const node_process &) = delete;
 
     void start();
-    /** \param program From the next start on. */
+    /** \param program The executable, used from the next start on. */
     void set_program(std::string program) {
         options_.program = std::move(program);
     }
     const std::string &program() const {
         return options_.program;
     }
-    /** Sends the signal if the process runs. */
+    /** Sends the signal if the process is running. */
     void signal(int number);
-    /** Collects the process if it has ended. \return Whether it runs. */
+    /** Reaps the process if it has exited. \return Whether it is running. */
     bool running();
-    /** The exit code of the last process; meaningless when a signal ended it. */
+    /** The exit code of the last process; meaningless if a signal terminated it. */
     int exit_code() const {
         return exit_code_;
     }
 
-    /** 0 when it doesn't run. */
+    /** 0 if it isn't running. */
     pid_t process() const {
         return process_;
     }
@@ -63,9 +63,9 @@
     Address callers() const;
     Address readiness() const;
 
-    /** When something was last done to it that excuses lost answers: a kill, a freeze. */
+    /** When a fault that excuses lost answers, such as a kill or a freeze, was last injected. */
     MonotonicTime disturbed{};
-    /** When its planned stop began; the epoch when none is under way. */
+    /** When its planned stop began; the epoch if it is not stopping. */
     MonotonicTime stopping{};
     bool frozen = false;
 
--- a/tests/soak/online_call.h
+++ b/tests/soak/online_call.h
@@ -2,7 +2,7 @@
 #define CHALKSHED_TESTS_SOAK_ONLINE_CALL_H
 
 /** \file
- * One online request of the soak as its caller sees it, and the paths that the soak's routes have.
+ * An online request of the soak, from the caller's side, and the paths of the soak's routes.
  */
 
 #include "tests/soak/soak.h"
@@ -14,24 +14,24 @@
 constexpr const char *kOncePath = "/once/x";
 constexpr const char *kMovedPath = "/moved/x";
 
-/** The tenant whose limit is lower than what is sent with its keys. */
+/** The tenant whose rate limit is lower than the rate of requests sent with its keys. */
 constexpr const char *kHotTenant = "hot";
 constexpr double kHotRate = 10;
 constexpr double kHotBurst = 10;
 
-/** Whether an answer of that status promises that the request has not run and never will. */
+/** Whether an answer with that status promises that the request has not run and never will. */
 inline bool says_not_run(int status) {
     return status == 429 || status == 503 || status == 408 || status == 421;
 }
 
-/** One online request as its caller sees it. */
+/** One online request, from the caller's side. */
 struct soak_run::online_call : public HttpCallCallbacks {
     std::string id;
     std::string path;
     node_process *node = nullptr;
     soak_key key;
     MonotonicTime sent{};
-    bool kept = false; // its connection may have been open before
+    bool kept = false; // it may reuse an open connection
     int status = 0;
     std::string body;
     bool whole = false;
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -16,8 +16,8 @@
 
 constexpr Duration kStopGrace = seconds(8);
 constexpr Duration kSettle = seconds(40);
-constexpr Duration kRound = milliseconds(20);
-/** Two of the largest jobs: nodes refuse some jobs, too. */
+constexpr Duration kTickInterval = milliseconds(20);
+/** The tokens of two of the largest jobs, so that nodes refuse some jobs. */
 constexpr int kQueueLimit = 400;
 
 } // namespace
@@ -76,8 +76,8 @@
 
 soak_result soak_run::run() {
     began_ = now();
-    next_round_ = began_ + milliseconds(100);
-    later(seconds(2), [this] { act(); });
+    next_tick_ = began_ + milliseconds(100);
+    later(seconds(2), [this] { inject_fault(); });
     later(milliseconds(100), [this] { keep_nodes_running(); });
     call_after(dispatcher_, options_.length, [this] { heal(); });
     call_after(dispatcher_, options_.length + kSettle, [this] {
@@ -122,7 +122,7 @@
     std::map<std::string, nlohmann::json> keys = {{kHotTenant, nlohmann::json::array()},
                                                   {"usual", nlohmann::json::array()}};
     for (const soak_key &each : keys_) {
-        if (!each.taken) {
+        if (!each.revoked) {
             keys[each.tenant].push_back(each.key);
         }
     }
@@ -239,7 +239,7 @@
         later(milliseconds(60 * count), [&node] { node.signal(SIGHUP); });
     }
     later(milliseconds(random_.below(60 * kReloads)), [this, &node] { begin_stop(node); });
-    // Once more while it stops.
+    // A second SIGTERM while it stops.
     later(milliseconds(400), [this, &node] {
         record_disturbance("stop", disturbed_part::kNode, node.name());
         node.signal(SIGTERM);
@@ -340,11 +340,11 @@
     write_configuration(moves_.back().service == "engines" ? "others" : "engines");
 }
 
-/** One key is taken away and another given in its place. */
+/** Revokes a key and assigns another in its place. */
 void soak_run::take_key() {
     for (soak_key &each : keys_) {
-        if (!each.taken && each.tenant == "usual") {
-            each.taken = now();
+        if (!each.revoked && each.tenant == "usual") {
+            each.revoked = now();
             break;
         }
     }
@@ -352,13 +352,13 @@
     write_configuration(moves_.back().service);
 }
 
-void soak_run::act() {
+void soak_run::inject_fault() {
     const std::vector<fault> &all = faults();
     const fault &next = all[random_.below(all.size())];
     (this->*next.begin)();
     ++result_.faults;
     if (now() - began_ < options_.length) {
-        later(milliseconds(400 + random_.below(1600)), [this] { act(); });
+        later(milliseconds(400 + random_.below(1600)), [this] { inject_fault(); });
     }
 }
 
@@ -384,10 +384,10 @@
     records_.emplace_back(disturbance{now(), now() + length, kind, part, target});
 }
 
-/** How late the round that is under way began. */
+/** Records how late the current tick started. */
 void soak_run::record_lag() {
-    lateness_.push_back(now() - next_round_);
-    next_round_ = now() + kRound;
+    lateness_.push_back(now() - next_tick_);
+    next_tick_ = now() + kTickInterval;
 }
 
 void soak_run::keep_nodes_running() {
@@ -418,7 +418,7 @@
         }
     }
     record_lag();
-    later(kRound, [this] { keep_nodes_running(); });
+    later(kTickInterval, [this] { keep_nodes_running(); });
 }
 
 } // namespace chalkshed::soak
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -2,11 +2,11 @@
 #define CHALKSHED_TESTS_SOAK_SOAK_H
 
 /** \file
- * A randomized fault soak: real node processes before a stand-in of the platform and workers, with
- * callers, jobs and an operator. Faults come at random from a seed; what callers, workers and the
- * store have seen is checked against what must hold.
+ * A randomized fault soak: real node processes with an emulated platform store and emulated
+ * workers, callers and operator. Faults are drawn from a seeded random generator; the observations
+ * of callers, workers and the store are checked against invariants.
  *
- * The processes run in real time, so that a seed repeats the faults but not every interleaving.
+ * The processes run in real time, so that a seed reproduces the faults but not every interleaving.
  */
 
 #include <deque>
@@ -38,16 +38,17 @@
     size_t nodes = 5;
     size_t workers = 6;
     Duration length = std::chrono::seconds(60);
-    /** Nodes listen on 127.0.<network>.1 and on: runs at the same time need different ones. */
+    /** Nodes listen on 127.0.<network>.1 and the addresses after it; concurrent runs need different
+     * networks. */
     unsigned network = 9;
 };
 
-/** A key that the operator has given to a tenant, and perhaps taken away. */
+/** An API key that the operator has assigned to a tenant and possibly revoked. */
 struct soak_key {
     std::string key;
     std::string tenant;
-    MonotonicTime given{};
-    std::optional<MonotonicTime> taken;
+    MonotonicTime assigned{};
+    std::optional<MonotonicTime> revoked;
 };
 
 struct soak_result {
@@ -60,7 +61,7 @@
     uint64_t unknown_keys = 0;
     uint64_t items_failed = 0;
     std::vector<std::string> violations;
-    /** What the records of callers and workers say, joined after the run. */
+    /** The result of the checks on the records of callers and workers. */
     check_report report;
 };
 
@@ -78,9 +79,10 @@
         std::string id;
         size_t items = 0;
         bool accepted = false;
-        bool refused = false; // at every try so far
-        uint64_t tries = 0;
-        /** Its caller has sent an end, which may have been taken though no answer came. */
+        bool refused = false; // by every attempt so far
+        uint64_t attempts = 0;
+        /** Its caller has sent an end, which may have been accepted even if no answer was received.
+         */
         bool end_sent = false;
         std::optional<MonotonicTime> ended;
         std::vector<std::string> listed;
@@ -116,7 +118,7 @@
     void replace_worker();
     void crash_worker();
     void mute_worker();
-    /** Changes and signals that follow each other and overlap. */
+    /** Series of changes and signals that overlap. */
     void signal_in_series();
     void stop_two_nodes();
     void change_in_series();
@@ -127,17 +129,17 @@
     void send_request();
     void submit_job();
     void send_job(const std::string &id);
-    /** The items as the job carries them; each records what it is. */
+    /** The items in the JSON of the job; each is also added to `sent`. */
     nlohmann::json items_of(const std::string &id, size_t count, job_send &sent);
     void note_job_answer(const std::string &id, uint64_t attempt, const std::string &node,
                          const Expected<HttpResponse> &answer);
     void read_job(const std::string &id);
     void end_some_job();
-    /** Sends an end until it is acknowledged or there turns out to be nothing to end. */
+    /** Repeats an end until it is acknowledged or the node answers that there is no such job. */
     void send_end(const std::string &id);
     HttpRequest message(const std::string &method, const std::string &path, const std::string &id,
                         const std::string &key);
-    /** A key that the tenant of all jobs has now. */
+    /** A current API key of the tenant that owns all jobs. */
     std::string job_key() const;
 
     // Checks.
@@ -151,21 +153,21 @@
     void record_answer(const online_call &call, bool matches);
     void record_disturbance(const std::string &kind, disturbed_part part, const std::string &target,
                             Duration length = {});
-    /** The address of the node that sent the run; of its connection where none can be told. */
+    /** The address of the node that sent the run, or "unknown" if none can be determined. */
     std::string sender_ip(const run_record &run, const soak_worker &worker) const;
     void start_node(node_process &node);
     void record_lag();
-    /** Joins the records and takes over what they show. */
+    /** Runs the checks on all records and stores their report in the result. */
     void check_all_records();
     void check_page(job &of, uint32_t from, const std::string &body);
     void check_end();
     void violate(const std::string &what);
 
-    void act();
+    void inject_fault();
     void keep_nodes_running();
     void heal();
     void store_disturbed();
-    bool calm(const node_process &node) const;
+    bool undisturbed(const node_process &node) const;
     node_process &any_node();
     soak_worker *any_worker();
     MonotonicTime now() const {
@@ -190,7 +192,7 @@
     std::vector<move> moves_;
     std::vector<soak_key> keys_;
     std::map<std::string, soak_key> key_of_; // by request
-    std::deque<MonotonicTime> hot_runs_;     // of the last window
+    std::deque<MonotonicTime> hot_runs_;     // within the last window
     MonotonicTime store_disturbed_{};
     MonotonicTime began_{};
     uint64_t version_ = 0;
@@ -198,7 +200,7 @@
     bool ending_ = false;
     std::vector<record> records_;
     std::set<std::string> sent_ids_;
-    MonotonicTime next_round_{};
+    MonotonicTime next_tick_{};
     std::vector<Duration> lateness_;
     soak_result result_;
     Lifetime lifetime_;
--- a/tests/soak/soak_checks.cc
+++ b/tests/soak/soak_checks.cc
@@ -1,5 +1,5 @@
 /** \file
- * What must hold, checked on what callers, workers and the store have seen.
+ * The invariants of the soak, checked on the observations of callers, workers and the store.
  */
 
 #include <algorithm>
@@ -17,14 +17,15 @@
 constexpr Duration kLeavingGrace = seconds(3);
 constexpr Duration kConfigurationGrace = seconds(3);
 constexpr Duration kEndGrace = seconds(4);
-/** What happens to a node or the store excuses what happens this long afterwards. */
-constexpr Duration kAftermath = seconds(6);
+/** A disturbance of a node or the store excuses failures for this long afterwards. */
+constexpr Duration kExcusedAfter = seconds(6);
 
-/** Of a run whose connection no node holds. */
+/** The sender of a run whose connection belongs to no node. */
 constexpr const char *kUnknownSender = "unknown";
-/** A run whose connection no node holds came from one that was killed so shortly before. */
+/** A run whose connection belongs to no node was sent by a node that was killed within this time
+ * before. */
 constexpr Duration kKilledBefore = seconds(1);
-/** Accepted jobs list all items so long after their 202. */
+/** Accepted jobs list all items this long after their 202. */
 constexpr Duration kFinish = seconds(40);
 
 std::string whole_text(const std::string &item) {
@@ -42,7 +43,8 @@
         at, "soak", lateness.size(), lateness[last / 2], lateness[last * 99 / 100], lateness[last]};
 }
 
-/** Whether all events are the request's own, in order, and none is missing of a whole answer. */
+/** Whether all events belong to the request and are in order, and a whole answer has all of them.
+ */
 bool holds_own_events(int status, bool whole, const std::string &id, std::string_view body) {
     constexpr int kOk = 200;
     if (status != kOk) {
@@ -62,12 +64,12 @@
 
 } // namespace
 
-bool soak_run::calm(const node_process &node) const {
-    return now() - node.disturbed > kAftermath && now() - store_disturbed_ > kAftermath &&
+bool soak_run::undisturbed(const node_process &node) const {
+    return now() - node.disturbed > kExcusedAfter && now() - store_disturbed_ > kExcusedAfter &&
            !node.frozen;
 }
 
-/** Who asks reaches the worker, the key never does, and a key that was taken away opens nothing. */
+/** The worker must get the tenant and never the key, and no request may run with a revoked key. */
 void soak_run::check_tenant(const run_record &run) {
     const auto sent = key_of_.find(run.request);
     const std::string expected = sent == key_of_.end() ? "usual" : sent->second.tenant;
@@ -75,15 +77,15 @@
         violate("request " + run.request + " ran for '" + run.tenant + "' in place of '" +
                 expected + "', key passed on: " + (run.key_seen ? "yes" : "no"));
     }
-    const bool all_calm =
-        std::all_of(nodes_.begin(), nodes_.end(), [this](const auto &node) { return calm(*node); });
-    const auto &taken = sent == key_of_.end() ? std::nullopt : sent->second.taken;
-    if (taken && now() - *taken > kConfigurationGrace && all_calm) {
-        violate("request " + run.request + " ran with a key that was taken away");
+    const bool all_undisturbed = std::all_of(
+        nodes_.begin(), nodes_.end(), [this](const auto &node) { return undisturbed(*node); });
+    const auto &revoked = sent == key_of_.end() ? std::nullopt : sent->second.revoked;
+    if (revoked && now() - *revoked > kConfigurationGrace && all_undisturbed) {
+        violate("request " + run.request + " ran with a revoked key");
     }
 }
 
-/** The bound that the platform sets for any window, whatever happens to the nodes. */
+/** The platform's bound on the runs within any window, which holds under all faults of nodes. */
 void soak_run::check_limit(const run_record &run) {
     constexpr Duration kWindow = seconds(5);
     const double most = (kHotRate * 5 + kHotBurst) * 1.1 + 20;
@@ -100,11 +102,11 @@
     }
 }
 
-/** The users' bounds: an item that fails at each run, or can never be done, is given up in time
- * whatever happens to the owners of its job. */
+/** An item that fails at each run, or that workers report as impossible, may only run a bounded
+ * number of times, even if the owner of its job changes. */
 void soak_run::check_attempts(const run_record &run) {
-    constexpr size_t kMostFailed = 9; // three times the attempts of the route
-    constexpr size_t kMostImpossible = 3;
+    constexpr size_t kMaxFailed = 9; // three times the attempts of the route
+    constexpr size_t kMaxImpossible = 3;
     const item_fate fate = fate_of(run.request);
     if (fate == item_fate::kCompletes) {
         return;
@@ -113,7 +115,7 @@
         static_cast<size_t>(std::count_if(runs_.begin(), runs_.end(), [&](const auto &before) {
             return before->request == run.request && before->failed;
         }));
-    if (failed >= (fate == item_fate::kFails ? kMostFailed : kMostImpossible)) {
+    if (failed >= (fate == item_fate::kFails ? kMaxFailed : kMaxImpossible)) {
         violate("item " + run.request + " ran again after " + std::to_string(failed) +
                 " failed runs");
     }
@@ -130,26 +132,27 @@
         violate("request " + run.request + " must run once and ran again");
     }
     if (refused_.contains(run.request)) {
-        violate("request " + run.request + " ran after 'not run' was told");
+        violate("request " + run.request + " ran after it was answered as not run");
     }
     const auto worker = std::find_if(workers_.begin(), workers_.end(), [&](const auto &entry) {
         return entry->incarnation() == run.worker;
     });
     const MonotonicTime left = worker == workers_.end() ? MonotonicTime{} : (*worker)->leaving;
-    const bool all_calm =
-        std::all_of(nodes_.begin(), nodes_.end(), [this](const auto &node) { return calm(*node); });
-    if (left != MonotonicTime{} && now() - left > kLeavingGrace && all_calm) {
+    const bool all_undisturbed = std::all_of(
+        nodes_.begin(), nodes_.end(), [this](const auto &node) { return undisturbed(*node); });
+    if (left != MonotonicTime{} && now() - left > kLeavingGrace && all_undisturbed) {
         violate("worker " + run.worker + " is leaving and got " + run.request);
     }
     const move &newest = moves_.back();
     const bool settled = now() - newest.written > kConfigurationGrace;
-    if (run.message.path == kMovedPath && settled && all_calm && run.service != newest.service) {
+    if (run.message.path == kMovedPath && settled && all_undisturbed &&
+        run.service != newest.service) {
         violate("request " + run.request + " ran by a configuration older than " +
                 std::to_string(newest.version));
     }
     const auto of = jobs_.find(run.request.substr(0, run.request.find('-')));
     if (of != jobs_.end() && of->second.ended && now() - *of->second.ended > kEndGrace &&
-        all_calm) {
+        all_undisturbed) {
         violate("item " + run.request + " ran after its job was ended");
     }
     return runs_.back().get();
@@ -162,8 +165,8 @@
         const auto key = std::find_if(keys_.begin(), keys_.end(), [&](const soak_key &each) {
             return each.key == call.key.key;
         });
-        const bool settled = !key->taken && call.sent - key->given > kConfigurationGrace;
-        if (settled && calm(*call.node)) {
+        const bool settled = !key->revoked && call.sent - key->assigned > kConfigurationGrace;
+        if (settled && undisturbed(*call.node)) {
             violate("request " + call.id + " was rejected with a key that is in force");
         }
         record_answer(call, true);
@@ -173,7 +176,7 @@
     if (call.whole && says_not_run(call.status)) {
         refused_.insert(call.id);
         if (runs_of_.contains(call.id)) {
-            violate("request " + call.id + " was told 'not run', and ran");
+            violate("request " + call.id + " was answered as not run, and ran");
         }
         return;
     }
@@ -197,19 +200,20 @@
     const bool whole = call.whole && call.status == 200;
     result_.answered += whole ? 1 : 0;
     if (!whole && !excused(call) && call.status != 502 && call.status != 504) {
-        violate("request " + call.id + " at " + call.node->name() + " was cut off in a calm time" +
-                ", status " + std::to_string(call.status));
+        violate("request " + call.id + " at " + call.node->name() +
+                " was cut off without a disturbance" + ", status " + std::to_string(call.status));
     }
 }
 
-/** A planned stop cuts nothing off; nor does anything else while all is calm. A request on a kept
- * connection may cross the node's close of it: then nothing has run. */
+/** A planned stop excuses no cut answer, and without a disturbance nothing does but the worker. A
+ * request on a reused connection may have been sent while the node was closing that connection, if
+ * it has not run. */
 bool soak_run::excused(const online_call &call) const {
     const bool broke_at_worker = std::any_of(runs_.begin(), runs_.end(), [&](const auto &run) {
         return run->request == call.id && run->broken;
     });
-    const bool crossed = call.kept && call.status == 0 && !runs_of_.contains(call.id);
-    return broke_at_worker || crossed || !calm(*call.node);
+    const bool closed_before_run = call.kept && call.status == 0 && !runs_of_.contains(call.id);
+    return broke_at_worker || closed_before_run || !undisturbed(*call.node);
 }
 
 void soak_run::check_page(job &of, uint32_t from, const std::string &body) {
@@ -222,13 +226,14 @@
     for (const nlohmann::json &result : page.at("results")) {
         const std::string item = result.at("id");
         const bool completed = result.at("state") == "completed";
-        const bool hopeless = fate_of(item) != item_fate::kCompletes;
-        // An end lets what isn't listed yet be listed as errored, also before it is answered.
-        if (completed ? hopeless : !hopeless && !of.end_sent) {
+        const bool never_completes = fate_of(item) != item_fate::kCompletes;
+        // After an end was sent, unlisted items may be listed as errored, even before it is
+        // answered.
+        if (completed ? never_completes : !never_completes && !of.end_sent) {
             violate("item " + item + " is listed as " + (completed ? "completed" : "errored"));
         }
         if (completed && result.at("message") != whole_text(item)) {
-            violate("item " + item + " has not its whole text");
+            violate("item " + item + " lacks its whole text");
         }
         const bool text_ok = result.at("message") == whole_text(item);
         records_.emplace_back(listed_item{now(), of.id, position, item, completed, text_ok});
@@ -275,9 +280,9 @@
     const auto of = jobs_.find(run.request.substr(0, run.request.find('-')));
     const bool ended = of != jobs_.end() && of->second.end_sent;
     const bool leaves = (*worker)->leaving != MonotonicTime{};
-    // Only in these the sender matters, and to find it takes a while.
-    const bool asked = ended || leaves || !sent_ids_.contains(run.request);
-    const std::string sender = asked ? sender_ip(run, **worker) : "";
+    // The sender only matters for these runs, and finding it takes about a millisecond.
+    const bool sender_needed = ended || leaves || !sent_ids_.contains(run.request);
+    const std::string sender = sender_needed ? sender_ip(run, **worker) : "";
     records_.emplace_back(run_begin{run.began, number, run.worker, run.service, run.request,
                                     run.message, run.resume_after, sender});
 }
@@ -290,7 +295,7 @@
     }
     const std::optional<pid_t> owner = connection_owner(run.sender, worker.address(), processes);
     const auto sent = std::find_if(nodes_.begin(), nodes_.end(), [&](const auto &node) {
-        // A process that was killed holds its connections no more.
+        // A killed process no longer owns its connections.
         return owner ? node->process() == *owner : now() - node->disturbed < kKilledBefore;
     });
     return sent == nodes_.end() ? kUnknownSender : (*sent)->callers().ip;
--- a/tests/soak/soak_load.cc
+++ b/tests/soak/soak_load.cc
@@ -1,5 +1,5 @@
 /** \file
- * The load of the soak: online requests, jobs, reads and ends, each at any node.
+ * The load of the soak: online requests, jobs, reads and ends, each sent to a random node.
  */
 
 #include <algorithm>
@@ -16,12 +16,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr uint64_t kMostJobTries = 6;
-/** Ends come this soon after the 202, or after the send where the 202 isn't awaited. */
+constexpr uint64_t kMaxJobAttempts = 6;
+/** Ends are sent within this time after the 202, or after the send if the 202 isn't awaited. */
 constexpr uint64_t kEndSoonMs = 600;
 constexpr int kNoSuchJob = 404;
 
-/** A body of the length that no other id has. */
+/** A body of the given length, different for each id. */
 std::string body_of(const std::string &id, size_t length) {
     std::string body;
     while (body.size() < length) {
@@ -31,18 +31,18 @@
     return body;
 }
 
-/** Some requests have no body, most a short one, and some one that fills the kernel's buffers. */
+/** Some requests have no body, most a short one, and some one that exceeds the kernel's buffers. */
 size_t online_length(RandomGenerator &random) {
-    constexpr uint64_t kShort = 2'000;
-    constexpr uint64_t kLong = 300'000;
+    constexpr uint64_t kMaxShortBytes = 2'000;
+    constexpr uint64_t kMaxLongBytes = 300'000;
     switch (random.below(10)) {
     case 0:
         return 0;
     case 1:
     case 2:
-        return random.below(kLong);
+        return random.below(kMaxLongBytes);
     default:
-        return random.below(kShort);
+        return random.below(kMaxShortBytes);
     }
 }
 
@@ -62,11 +62,11 @@
 
 std::string soak_run::job_key() const {
     const auto newest = std::find_if(keys_.rbegin(), keys_.rend(), [](const soak_key &each) {
-        return !each.taken && each.tenant == "usual";
+        return !each.revoked && each.tenant == "usual";
     });
-    // The newest may not be known everywhere yet; the one before it is.
+    // Some nodes may not know the newest key yet; all know the one before it.
     const auto before = std::find_if(std::next(newest), keys_.rend(), [](const soak_key &each) {
-        return !each.taken && each.tenant == "usual";
+        return !each.revoked && each.tenant == "usual";
     });
     return before == keys_.rend() ? newest->key : before->key;
 }
@@ -77,7 +77,7 @@
     if (now() - began_ > options_.length + seconds(15)) {
         return;
     }
-    // Some callers keep their connections, and use them until the process is gone.
+    // Some callers keep their connections open and reuse them until the process is gone.
     const bool kept = random_.below(3) == 0;
     if (node.stopping != MonotonicTime{} && !kept) {
         return;
@@ -127,12 +127,12 @@
 }
 
 nlohmann::json soak_run::items_of(const std::string &id, size_t count, job_send &sent) {
-    constexpr size_t kLongest = 15'000;
+    constexpr size_t kMaxBodyBytes = 15'000;
     nlohmann::json items = nlohmann::json::array();
     for (size_t number = 0; number < count; ++number) {
         const std::string item = id + "-" + std::to_string(number);
-        // The same at each try, whatever else was drawn in between.
-        const size_t length = std::hash<std::string>()(item) % kLongest;
+        // Derived from the id, so that it is the same at each attempt.
+        const size_t length = std::hash<std::string>()(item) % kMaxBodyBytes;
         HttpRequest request;
         request.method = "POST";
         request.path = "/batch/" + item;
@@ -151,7 +151,7 @@
 
 void soak_run::send_job(const std::string &id) {
     job &of = jobs_.at(id);
-    const uint64_t attempt = of.tries++;
+    const uint64_t attempt = of.attempts++;
     node_process &node = any_node();
     job_send sent{now(), id, attempt, node.name(), {}};
     HttpRequest request = message("POST", "/batch/" + id, id, job_key());
@@ -181,7 +181,7 @@
         if (random_.below(kOneEndSoonIn) == 0) {
             later(milliseconds(random_.below(kEndSoonMs)), [this, id] { send_end(id); });
         }
-    } else if (of.tries < kMostJobTries && !of.end_sent) {
+    } else if (of.attempts < kMaxJobAttempts && !of.end_sent) {
         later(milliseconds(300), [this, id] {
             if (!jobs_.at(id).end_sent) {
                 send_job(id);
@@ -203,7 +203,7 @@
                   lifetime_.guard([this, id, from](const Expected<HttpResponse> &answer) {
                       job &of = jobs_.at(id);
                       if (answer && answer->status == 404) {
-                          violate("job " + id + " was accepted, and is not there");
+                          violate("job " + id + " was accepted, but does not exist");
                       }
                       if (answer && answer->status == 200) {
                           check_page(of, from, answer->body);
--- a/tests/soak/soak_main.cc
+++ b/tests/soak/soak_main.cc
@@ -23,14 +23,14 @@
 
 Options:
   --program=<file>    chalkshed-serve.
-  --production=<file>  An older chalkshed-serve, which runs when a deployment with upgrades begins.
-  --folder=<folder>   For settings and logs; made if it isn't there.
-  --seed=<n>          Of the faults and the load [default: 1].
-  --seconds=<n>       How long faults come; 40 more follow in which all must settle; 60 when not given.
-  --nodes=<n>         Processes [default: 5].
-  --workers=<n>       Workers, served by this program [default: 6].
-  --network=<n>       Nodes listen on 127.0.<n>.1 and on; by default chosen by the process id,
-                      because two runs on the same addresses disturb each other.
+  --production=<file>  An older chalkshed-serve, which a deployment with upgrades starts with.
+  --folder=<folder>   For settings and logs; created if it doesn't exist.
+  --seed=<n>          Seed of the faults and the load [default: 1].
+  --seconds=<n>       How long faults are injected, 60 if not given; 40 more follow for all to settle.
+  --nodes=<n>         Number of node processes [default: 5].
+  --workers=<n>       Number of workers, emulated by this program [default: 6].
+  --network=<n>       Nodes listen on 127.0.<n>.1 and the addresses after it; by default derived
+                      from the process id, because runs on the same addresses interfere.
   --deployment=<file>  Run the deployment of this file as processes of their own, in place of the
                       soak above: see docs/operators/soak.md. --seconds takes the place of the
                       file's length only where it is given.
--- a/tests/soak/soak_worker.cc
+++ b/tests/soak/soak_worker.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Duration kBetweenEvents = std::chrono::milliseconds(40);
-constexpr Duration kMuteFor = std::chrono::seconds(4);
+constexpr Duration kMuteDelay = std::chrono::seconds(4);
 
 std::string header(const HttpRequest &request, std::string_view name) {
     return std::string(find_header(request.headers, name).value_or(""));
@@ -23,8 +23,8 @@
     if (dash == std::string::npos) {
         return item_fate::kCompletes; // an online request
     }
-    constexpr unsigned kOneIn = 6;
-    switch (std::stoul(item.substr(dash + 1)) % kOneIn) {
+    constexpr unsigned kFateCycle = 6;
+    switch (std::stoul(item.substr(dash + 1)) % kFateCycle) {
     case 2:
         return item_fate::kFails;
     case 5:
@@ -71,7 +71,7 @@
     begun.run = observer_(std::move(run));
     begun.next += last.empty() ? 0 : 1;
     if (random_.below(100) < broken_percent) {
-        begun.breaks_before = begun.next + random_.below(kEvents);
+        begun.aborts_before = begun.next + random_.below(kEvents);
     }
     const uint64_t number = next_stream_++;
     writer->set_on_closed(lifetime_.guard([this, number] { streams_.erase(number); }));
@@ -82,14 +82,14 @@
     if (!mute) {
         answer(number);
     } else if (random_.below(2) == 0) {
-        call_after(dispatcher_, kMuteFor, lifetime_.guard([this, number] { answer(number); }));
+        call_after(dispatcher_, kMuteDelay, lifetime_.guard([this, number] { answer(number); }));
     }
 }
 
 void soak_worker::answer(uint64_t number) {
     const auto found = streams_.find(number);
     if (found == streams_.end()) {
-        return; // its caller has left
+        return; // the node has closed the connection
     }
     stream &current = found->second;
     const std::string &id = current.request;
@@ -115,7 +115,7 @@
         return;
     }
     stream &current = found->second;
-    if (current.breaks_before == current.next) {
+    if (current.aborts_before == current.next) {
         current.run->broken = true;
         current.writer->abort();
         streams_.erase(found);
--- a/tests/soak/soak_worker.h
+++ b/tests/soak/soak_worker.h
@@ -2,8 +2,8 @@
 #define CHALKSHED_TESTS_SOAK_SOAK_WORKER_H
 
 /** \file
- * A worker of the soak: streams the events of each request, and fails in the ways that real ones
- * do.
+ * A worker of the soak: streams the events of each request, and can inject the faults of real
+ * workers.
  */
 
 #include <functional>
@@ -20,36 +20,37 @@
 
 constexpr uint64_t kEvents = 12;
 
-/** How an item fares at each of its runs, by its number in the job. */
+/** The outcome of an item, the same at each of its runs; depends on its number in the job. */
 enum class item_fate { kCompletes, kFails, kImpossible };
 item_fate fate_of(const std::string &item);
 constexpr int kFailedStatus = 500;
 constexpr int kImpossibleStatus = 422;
 
-/** The data of one event of a request: names both, so that a mixed answer shows. */
+/** The data of one event of a request; contains both ids, so that mixed-up answers are detected. */
 std::string event_data(const std::string &request, uint64_t event);
 
-/** A run that has begun at a worker. */
+/** A run that a worker has started. */
 struct run_record {
     std::string request;
-    /** What came of it, to be compared with what its caller sent. */
+    /** The message as received, to be compared with the one its caller sent. */
     carried_message message;
     uint64_t resume_after = 0;
-    /** The other end of its connection. */
+    /** The remote address of its connection. */
     Address sender;
     std::string service;
     std::string worker;
-    /** Whose request it is by what the worker was told; and whether a key came with it. */
+    /** The tenant in the request's headers, and whether they contained an API key. */
     std::string tenant;
     bool key_seen = false;
     MonotonicTime began{};
-    bool broken = false; // by the worker, or held up by it
-    bool failed = false; // the worker answered that the item failed
+    bool broken = false; // the worker aborted or delayed it
+    bool failed = false; // the worker answered with a status that reports the item as failed
 };
 
 class soak_worker : public HttpHandler {
 public:
-    /** Told of each run as it begins; may mark it later as broken through the pointer. */
+    /** Called when a run starts; the worker later marks the run as broken or failed through the
+     * returned pointer. */
     using run_observer = std::function<run_record *(run_record)>;
 
     soak_worker(EventDispatcher &dispatcher, RandomGenerator &random, std::string incarnation,
@@ -67,13 +68,13 @@
         return server_.local();
     }
 
-    /** Of 100 requests, so many are broken off, at once or midway. */
+    /** Percentage of requests that are aborted, at once or midway. */
     uint32_t broken_percent = 0;
-    /** Of 100 requests, so many are refused without being run. */
+    /** Percentage of requests that are refused without being run. */
     uint32_t refused_percent = 0;
-    /** Of 100 requests, so many are begun and answered seconds later, or never. */
+    /** Percentage of requests that are started, but answered only seconds later or never. */
     uint32_t mute_percent = 0;
-    /** When it said that it leaves; the epoch when it has not. */
+    /** When it announced that it leaves; the epoch if it has not. */
     MonotonicTime leaving{};
 
 private:
@@ -81,7 +82,7 @@
         ResponseWriterPtr writer;
         std::string request;
         uint64_t next = 1;
-        uint64_t breaks_before = 0; // 0: it does not break
+        uint64_t aborts_before = 0; // 0: it is not aborted
         run_record *run = nullptr;
     };
 
