--- a/tests/soak/fleet/checks.cc
+++ b/tests/soak/fleet/checks.cc
@@ -15,8 +15,7 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-/** Limit of the examples kept for each check; violations and excused cases are limited separately.
- */
+/** Limit of the examples kept for each check, for violations and excused cases separately. */
 constexpr uint64_t kMaxExamples = 50;
 
 struct named_check {
@@ -299,7 +298,7 @@
     report_.checks[check_kind::kEndsOfContent].tested = history_.fatal_ends.size();
     std::map<std::string, size_t> by_undisturbed_nodes;
     for (const run_begin *run : history_.runs) {
-        // An older build may lack the rule that runs concurrent copies at different times.
+        // An older build may lack the separation of concurrent copies.
         const bool judged = !sender_disturbed(*run) && !history_.sent_by_production(*run);
         if (!judged || !history_.fatal_runs.contains({run->worker, run->id})) {
             continue;
@@ -343,8 +342,8 @@
     }
 }
 
-/** A node can only cut the answer off if its worker did. A request on a reused connection that has
- * not run may have been sent while the node was closing that connection. */
+/** If the worker aborts, the node can only cut the answer off. A request on a reused connection
+ * that has not run may have been sent while the node was closing that connection. */
 bool checker::cut_is_excused(const request_history &request, MonotonicTime until) const {
     const interval lifetime = {request.send->at - bounds_.contact, until};
     const bool worker_broke =
--- a/tests/soak/fleet/checks.h
+++ b/tests/soak/fleet/checks.h
@@ -31,8 +31,7 @@
     kLeavingWorker,  /**< a leaving worker gets no request after the bound */
     kFatalContent,   /**< a content that terminated three workers reaches at most three more after
                         the contact time */
-    kEndsOfContent,  /**< one content terminates few workers in total, however many copies are sent
-                      */
+    kEndsOfContent,  /**< a content terminates few workers in total, even if many copies are sent */
     kInnocent,       /**< no other request is refused because workers terminated */
 };
 
--- a/tests/soak/fleet/deployment.h
+++ b/tests/soak/fleet/deployment.h
@@ -28,8 +28,7 @@
     std::string name;
     /** Emulated workers at the start, assigned to the zones round-robin. */
     uint64_t workers = 0;
-    /** Requests that one worker processes concurrently; a few more are queued, the rest is refused.
-     */
+    /** Requests that one worker processes concurrently; a few more are queued, others refused. */
     uint64_t slots = 8;
     /** Events in the answer to a streaming request or an item. */
     uint64_t events = 12;
--- a/tests/soak/fleet/history.h
+++ b/tests/soak/fleet/history.h
@@ -57,7 +57,7 @@
     std::vector<const end_send *> ends;
     std::vector<const end_answer *> end_answers;
     std::vector<const listed_item *> listed;
-    std::vector<const run_begin *> runs; // the runs of all its items
+    std::vector<const run_begin *> runs; // of all its items
 
     /** The number of distinct items over all sends. */
     uint64_t items = 0;
@@ -107,8 +107,7 @@
         std::string node;
         bool production = false;
     };
-    /** \return The process that owned the sender's address at the time of the run; null if unknown.
-     */
+    /** \return The process with the sender's address at the time of the run; null if unknown. */
     const address_owner *sender_of(const run_begin &run) const;
 
     void add(const online_send &entry);
--- a/tests/soak/fleet/records.h
+++ b/tests/soak/fleet/records.h
@@ -63,8 +63,7 @@
     /** It has the request's id and signature and, if it is whole, the expected text; if it is not,
      * what was received is a prefix of that text. */
     bool matches = false;
-    /** The request was not run because earlier requests with its content terminated their workers.
-     */
+    /** The request was not run because earlier ones with its content terminated their workers. */
     bool held = false;
 };
 
@@ -99,8 +98,7 @@
     int status = 0; // 0: no answer
 };
 
-/** An end of a job is about to be written to one node. Callers repeat it until it is acknowledged.
- */
+/** An end of a job is about to be written to one node. Repeated until it is acknowledged. */
 struct end_send {
     MonotonicTime at{};
     std::string job;
@@ -201,8 +199,7 @@
     uint64_t version = 0;
 };
 
-/** How late the timers of a test process fired, over its whole run or since its last such record.
- */
+/** How late the timers of a test process fired, over its whole run or since its last record. */
 struct process_lag {
     MonotonicTime at{};
     std::string process;
