--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -81,8 +81,7 @@
         bool accepted = false;
         bool refused = false; // by every attempt so far
         uint64_t attempts = 0;
-        /** Its caller has sent an end, which may have been accepted even if no answer was received.
-         */
+        /** Its caller has sent an end, which may have been accepted even without an answer. */
         bool end_sent = false;
         std::optional<MonotonicTime> ended;
         std::vector<std::string> listed;
--- a/tests/soak/soak_checks.cc
+++ b/tests/soak/soak_checks.cc
@@ -43,8 +43,7 @@
         at, "soak", lateness.size(), lateness[last / 2], lateness[last * 99 / 100], lateness[last]};
 }
 
-/** Whether all events belong to the request and are in order, and a whole answer has all of them.
- */
+/** Whether all events belong to the request and are in order, and all are in a whole answer. */
 bool holds_own_events(int status, bool whole, const std::string &id, std::string_view body) {
     constexpr int kOk = 200;
     if (status != kOk) {
@@ -103,7 +102,7 @@
 }
 
 /** An item that fails at each run, or that workers report as impossible, may only run a bounded
- * number of times, even if the owner of its job changes. */
+ * number of times, even if the owners of its job fail. */
 void soak_run::check_attempts(const run_record &run) {
     constexpr size_t kMaxFailed = 9; // three times the attempts of the route
     constexpr size_t kMaxImpossible = 3;
@@ -205,9 +204,9 @@
     }
 }
 
-/** A planned stop excuses no cut answer, and without a disturbance nothing does but the worker. A
- * request on a reused connection may have been sent while the node was closing that connection, if
- * it has not run. */
+/** Neither a node in its planned stop nor an undisturbed one may cut an answer off unless the
+ * worker aborted. A request on a reused connection that has not run may have been sent while the
+ * node was closing that connection. */
 bool soak_run::excused(const online_call &call) const {
     const bool broke_at_worker = std::any_of(runs_.begin(), runs_.end(), [&](const auto &run) {
         return run->request == call.id && run->broken;
