--- a/sim/configuration_cluster.cc
+++ b/sim/configuration_cluster.cc
@@ -37,7 +37,7 @@
   gossip_version_ = entry.version;
   for (const auto& node : cluster_.nodes) {
     ConfigurationNode* other = node.get();
-    if (other == this || other->side != side || !other->hears_gossip) {
+    if (other == this || other->side != side || !other->receives_gossip) {
       continue;
     }
     other->dispatcher.schedule(std::chrono::milliseconds(30 + random.below(50)), [other, entry] {
--- a/sim/configuration_cluster.h
+++ b/sim/configuration_cluster.h
@@ -15,7 +15,7 @@
 
 namespace chalkshed {
 
-constexpr const char* kFirstText = R"(
+constexpr const char* kInitialText = R"(
 [services.chat]
 models = ["large"]
 [tenants.alpha]
@@ -133,7 +133,7 @@
   EmulatedMachineList machines;
   NodeDependencies dependencies;
   int side = 0;  // only nodes of one side reach one another
-  bool hears_gossip = true;
+  bool receives_gossip = true;
   std::map<std::string, int> calls;            // made, by method
   std::map<std::string, uint64_t> bytes;       // of bodies of calls made and their answers
   std::vector<ConfigurationVersion> versions;  // in the order in which they came into force
@@ -171,7 +171,7 @@
     return result.value();
   }
   void run(int milliseconds) { clock.run_for(std::chrono::milliseconds(milliseconds)); }
-  void cut_store(ConfigurationNode& node, bool cut) {
+  void set_store_disconnected(ConfigurationNode& node, bool cut) {
     node.table.set_reachable(!cut);
     node.objects.set_reachable(!cut);
   }
--- a/tests/configuration/configuration_fuzz_test.cc
+++ b/tests/configuration/configuration_fuzz_test.cc
@@ -103,8 +103,8 @@
     cluster.set_outage(false);
     for (size_t node = 0; node < kNodes; ++node) {
       cluster[node].side = 0;
-      cluster[node].hears_gossip = true;
-      cluster.cut_store(cluster[node], false);
+      cluster[node].receives_gossip = true;
+      cluster.set_store_disconnected(cluster[node], false);
       cluster[node].table.release_reads();
       cluster[node].table.deliver_late_commits();
     }
@@ -158,13 +158,13 @@
     }
     switch (kind) {
       case Kind::kCutStore:
-        system.cluster.cut_store(target, on);
+        system.cluster.set_store_disconnected(target, on);
         break;
       case Kind::kCutPeers:
         target.side = on ? static_cast<int>(1 + node) : 0;
         break;
       case Kind::kDropGossip:
-        target.hears_gossip = !on;
+        target.receives_gossip = !on;
         break;
       case Kind::kHoldReads:
         if (on) {
--- a/tests/configuration/configuration_manager_test.cc
+++ b/tests/configuration/configuration_manager_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 std::string with_tenant(const std::string& name) {
-  return std::string(kFirstText) + "[tenants." + name + "]\napi_key = \"key-" + name + "\"\n";
+  return std::string(kInitialText) + "[tenants." + name + "]\napi_key = \"key-" + name + "\"\n";
 }
 
 // Three nodes on which version 1 is active.
@@ -21,7 +21,7 @@
       cluster_.add(knobs);
     }
     cluster_.run(500);
-    ASSERT_EQ(cluster_.apply(cluster_[0], kFirstText, 0)->version, 1U);
+    ASSERT_EQ(cluster_.apply(cluster_[0], kInitialText, 0)->version, 1U);
     cluster_.run(1000);
   }
 
@@ -65,7 +65,7 @@
 TEST_F(ConfigurationManagerTest, EqualContentMakesNoNewVersionAndNoConflict) {
   start();
   // Like a resent apply: its base is the previous version.
-  const auto outcome = cluster_.apply(cluster_[1], kFirstText, 0);
+  const auto outcome = cluster_.apply(cluster_[1], kInitialText, 0);
   EXPECT_TRUE(outcome->accepted);
   EXPECT_FALSE(outcome->changed);
   EXPECT_EQ(outcome->version, 1U);
@@ -95,7 +95,7 @@
   const std::string text = format_configuration(shown);
   // A node with an older version than the base would restore an older key.
   cluster_[2].side = 1;
-  cluster_.cut_store(cluster_[2], true);
+  cluster_.set_store_disconnected(cluster_[2], true);
   ASSERT_TRUE(cluster_.apply(cluster_[0], with_tenant("beta"), 1)->accepted);
   const auto behind = cluster_.apply(cluster_[2], text, 2);
   ASSERT_FALSE(behind);
@@ -302,7 +302,7 @@
   start();
   ConfigurationNode& isolated = cluster_[2];
   isolated.side = 1;
-  cluster_.cut_store(isolated, true);
+  cluster_.set_store_disconnected(isolated, true);
   ASSERT_TRUE(cluster_.apply(cluster_[0], with_tenant("beta"), 1)->accepted);
   cluster_.run(10'000);
   EXPECT_TRUE(isolated.manager.ready());
@@ -318,7 +318,7 @@
 
 TEST_F(ConfigurationManagerTest, NodeThatMissedTheGossipCatchesUpByExchange) {
   start();
-  cluster_[1].hears_gossip = false;
+  cluster_[1].receives_gossip = false;
   ASSERT_TRUE(cluster_.apply(cluster_[0], with_tenant("beta"), 1)->accepted);
   cluster_.run(7000);
   EXPECT_EQ(cluster_[1].version(), 2U);
@@ -369,7 +369,7 @@
   start(knobs);
   ConfigurationNode& queried = cluster_[0];
   ConfigurationStatusCollector collector(queried.manager, queried.dependencies, queried);
-  cluster_[2].hears_gossip = false;
+  cluster_[2].receives_gossip = false;
   ASSERT_TRUE(cluster_.apply(queried, with_tenant("beta"), 1)->accepted);
   cluster_.run(500);
   ConfigurationStatus status;
--- a/tests/configuration/configuration_retention_test.cc
+++ b/tests/configuration/configuration_retention_test.cc
@@ -75,7 +75,7 @@
 // Uses a stream because chains of operator+ cause false overrun warnings in GCC 12.
 std::string text_with(const std::string& tenant) {
   std::ostringstream text;
-  text << kFirstText << "[tenants." << tenant << "]\napi_key = \"key-" << tenant << "\"\n";
+  text << kInitialText << "[tenants." << tenant << "]\napi_key = \"key-" << tenant << "\"\n";
   return text.str();
 }
 
@@ -90,9 +90,9 @@
       retaining_.push_back(std::make_unique<RetainingNode>(cluster_.add(knobs), knobs));
     }
     cluster_.run(500);
-    const std::vector<std::string> texts = {kFirstText,         text_with("beta"),
+    const std::vector<std::string> texts = {kInitialText,       text_with("beta"),
                                             text_with("gamma"), text_with("delta"),
-                                            kFirstText,         text_with("zeta")};
+                                            kInitialText,       text_with("zeta")};
     for (size_t index = 0; index < texts.size(); ++index) {
       ASSERT_TRUE(cluster_.apply(cluster_[0], texts[index], index)->accepted);
     }
--- a/tests/control/command_runner_test.cc
+++ b/tests/control/command_runner_test.cc
@@ -133,7 +133,7 @@
 }
 
 TEST_F(CommandRunnerTest, ShownTextCanBeEditedAndAppliedAgain) {
-  write("a.toml", std::string("version = 0\n") + kFirstText);
+  write("a.toml", std::string("version = 0\n") + kInitialText);
   ASSERT_EQ(run({"configuration", "apply", folder_}), ExitCode::kSuccess);
   ASSERT_EQ(run({"configuration", "show", "--secrets"}), ExitCode::kSuccess);
   EXPECT_TRUE(printed("api_key = \"")) << output_.str();
@@ -144,7 +144,7 @@
   EXPECT_EQ(run({"configuration", "apply", folder_}), ExitCode::kSuccess) << messages_.str();
   EXPECT_EQ(run({"configuration", "apply", folder_}), ExitCode::kSuccess);
   EXPECT_TRUE(printed("version 2 is already in force; nothing to change"));
-  write("a.toml", std::string("version = 1\n") + kFirstText);
+  write("a.toml", std::string("version = 1\n") + kInitialText);
   EXPECT_EQ(run({"configuration", "apply", folder_}), ExitCode::kConflict);
   EXPECT_TRUE(warned("[tenants.beta]\n+api_key")) << messages_.str();
 }
@@ -160,14 +160,14 @@
 }
 
 TEST_F(CommandRunnerTest, BaseVersionMustBeNamed) {
-  write("a.toml", kFirstText);
+  write("a.toml", kInitialText);
   EXPECT_EQ(run({"configuration", "apply", folder_}), ExitCode::kRefused);
   EXPECT_TRUE(warned("the base version is missing")) << messages_.str();
   EXPECT_EQ(run({"configuration", "apply", folder_, "--base-version=0"}), ExitCode::kSuccess);
 }
 
 TEST_F(CommandRunnerTest, WaitEndsAtItsLimit) {
-  write("a.toml", std::string("version = 0\n") + kFirstText);
+  write("a.toml", std::string("version = 0\n") + kInitialText);
   EXPECT_EQ(run({"configuration", "apply", folder_}), ExitCode::kSuccess);
   EXPECT_EQ(run({"configuration", "status", "--wait", "--timeout=3"}), ExitCode::kSuccess);
   EXPECT_EQ(run({"configuration", "status", "--wait", "--version=9", "--timeout=3"}),
@@ -232,7 +232,7 @@
   HttpRequest request;
   request.method = "POST";
   request.path = "/admin/configuration";
-  request.body = kFirstText;
+  request.body = kInitialText;
   request.query = "base_version=0&comment=by%20hand";
   EXPECT_EQ(caller_->call(request).value().status, 200);
   request.query = "base_version=zero";
