--- a/include/chalkshed/quarantine_rows.h
+++ b/include/chalkshed/quarantine_rows.h
@@ -78,9 +78,9 @@
     void set_node_count(size_t nodes) {
         nodes_ = nodes;
     }
-    /** \param removes Whether this node is the one that removes the row of that content. */
-    void set_is_remover(std::function<bool(uint64_t digest)> removes) {
-        is_remover_ = std::move(removes);
+    /** \param is_remover Whether this node is the one that removes the row of that content. */
+    void set_is_remover(std::function<bool(uint64_t digest)> is_remover) {
+        is_remover_ = std::move(is_remover);
     }
 
 private:
--- a/src/jobs/job_item_run.cc
+++ b/src/jobs/job_item_run.cc
@@ -43,9 +43,9 @@
   return "broken";
 }
 
-JobItemRun::JobItemRun(JobEnvironment& environment, const ServingRequest& item, WorkerSlotPtr place,
+JobItemRun::JobItemRun(JobEnvironment& environment, const ServingRequest& item, WorkerSlotPtr slot,
                        ItemProgress& progress, OnEnd on_end)
-    : progress_(progress), on_end_(std::move(on_end)), worker_(place->worker().record.incarnation) {
+    : progress_(progress), on_end_(std::move(on_end)), worker_(slot->worker().record.incarnation) {
   WorkerSend send;
   send.request = &item;
   send.incarnation = worker_;
@@ -58,7 +58,7 @@
   attempt_ = std::make_unique<WorkerAttempt>(
       environment.serving.time_source, environment.serving.worker_client,
       environment.serving.protocol, environment.serving.workers, environment.serving.quarantine,
-      std::move(place), send, options, *this);
+      std::move(slot), send, options, *this);
 }
 
 void JobItemRun::on_events(std::string_view events) {
--- a/src/jobs/job_item_run.h
+++ b/src/jobs/job_item_run.h
@@ -26,7 +26,7 @@
   using OnEnd = std::function<void(JobItemRunEnd end, const std::string& reason)>;
 
   // @param progress must outlive the run. @param on_end may destroy the run.
-  JobItemRun(JobEnvironment& environment, const ServingRequest& item, WorkerSlotPtr place,
+  JobItemRun(JobEnvironment& environment, const ServingRequest& item, WorkerSlotPtr slot,
              ItemProgress& progress, OnEnd on_end);
   ~JobItemRun() override = default;
   JobItemRun(const JobItemRun&) = delete;
--- a/src/jobs/owned_job.cc
+++ b/src/jobs/owned_job.cc
@@ -151,8 +151,8 @@
   wanted.repeatable = true;
   wanted.request = &item->request;
   wanted.urgency = urgency_of(*item);
-  WorkerSlotPtr place = environment_.serving.workers.acquire_slot(wanted);
-  if (!place) {
+  WorkerSlotPtr slot = environment_.serving.workers.acquire_slot(wanted);
+  if (!slot) {
     return false;
   }
   const size_t index = *next;
@@ -161,7 +161,7 @@
   item->started = environment_.serving.time_source.monotonic_now();
   ++running_;
   item->run =
-      std::make_unique<JobItemRun>(environment_, item->request, std::move(place), item->progress,
+      std::make_unique<JobItemRun>(environment_, item->request, std::move(slot), item->progress,
                                    [this, index](JobItemRunEnd end, const std::string& reason) {
                                      handle_run_end(index, end, reason);
                                    });
--- a/tests/cold_start/cold_start_limit_test.cc
+++ b/tests/cold_start/cold_start_limit_test.cc
@@ -262,10 +262,10 @@
     list("cold", seconds(30));
     list("warm", Duration(0));
     clock.run_for(seconds(1));
-    std::vector<WorkerSlotPtr> places;
+    std::vector<WorkerSlotPtr> slots;
     for (int index = 0; index < 8; ++index) {
-        places.push_back(take());
-        EXPECT_EQ(places.back()->worker().record.incarnation, "warm");
+        slots.push_back(take());
+        EXPECT_EQ(slots.back()->worker().record.incarnation, "warm");
     }
     EXPECT_EQ(take()->worker().record.incarnation, "cold");
 }
--- a/tests/serving/worker_set_test.cc
+++ b/tests/serving/worker_set_test.cc
@@ -114,12 +114,12 @@
 
 TEST_F(WorkerSetTest, BatchLeavesMoreFreeUntilTheNodeHasAHistoryOfBursts) {
   workers.update(record("i-1", 8));
-  std::vector<WorkerSlotPtr> places;
-  for (WorkerSlotPtr place = take(false, WorkClass::kBatch); place;
-       place = take(false, WorkClass::kBatch)) {
-    places.push_back(std::move(place));
+  std::vector<WorkerSlotPtr> slots;
+  for (WorkerSlotPtr slot = take(false, WorkClass::kBatch); slot;
+       slot = take(false, WorkClass::kBatch)) {
+    slots.push_back(std::move(slot));
   }
-  EXPECT_EQ(places.size(), 6U);
+  EXPECT_EQ(slots.size(), 6U);
   clock.run_for(std::chrono::seconds(13));
   EXPECT_NE(take(false, WorkClass::kBatch), nullptr);
 }
@@ -127,12 +127,12 @@
 TEST_F(WorkerSetTest, BatchLeavesSlotsFree) {
   clock.run_for(std::chrono::seconds(13));
   workers.update(record("i-1", 4));
-  std::vector<WorkerSlotPtr> places;
-  for (WorkerSlotPtr place = take(false, WorkClass::kBatch); place;
-       place = take(false, WorkClass::kBatch)) {
-    places.push_back(std::move(place));
+  std::vector<WorkerSlotPtr> slots;
+  for (WorkerSlotPtr slot = take(false, WorkClass::kBatch); slot;
+       slot = take(false, WorkClass::kBatch)) {
+    slots.push_back(std::move(slot));
   }
-  EXPECT_EQ(places.size(), 3U);
+  EXPECT_EQ(slots.size(), 3U);
   EXPECT_NE(take(), nullptr);
 }
 
@@ -149,8 +149,8 @@
   clock.run_for(std::chrono::milliseconds(400));  // the burst no longer grows
   std::vector<WorkerSlotPtr> batch;
   for (int count = 0; count < 8; ++count) {
-    if (WorkerSlotPtr place = take(false, WorkClass::kBatch)) {
-      batch.push_back(std::move(place));
+    if (WorkerSlotPtr slot = take(false, WorkClass::kBatch)) {
+      batch.push_back(std::move(slot));
     }
   }
   EXPECT_EQ(batch.size(), 5U);
@@ -175,8 +175,8 @@
   workers.update(record("i-2", 8));
   workers.note_failure(*workers.find("i-1"), clock.monotonic_now());
   for (int count = 0; count < 4; ++count) {
-    const WorkerSlotPtr place = take();
-    EXPECT_EQ(place->worker().record.incarnation, "i-2");
+    const WorkerSlotPtr slot = take();
+    EXPECT_EQ(slot->worker().record.incarnation, "i-2");
   }
   workers.note_failure(*workers.find("i-2"), clock.monotonic_now());
   EXPECT_NE(take(), nullptr);
@@ -226,13 +226,13 @@
     wanted.request = &request;
   }
   std::string next() {
-    places.push_back(workers.acquire_slot(wanted));
-    return places.back()->worker().record.incarnation;
+    slots.push_back(workers.acquire_slot(wanted));
+    return slots.back()->worker().record.incarnation;
   }
 
   ServingRequest request;
   SlotRequest wanted;
-  std::vector<WorkerSlotPtr> places;
+  std::vector<WorkerSlotPtr> slots;
 };
 
 TEST_F(SharedPromptTest, ReturnsToTheWorkerThatHasItCached) {
@@ -240,7 +240,7 @@
   for (int count = 0; count < 5; ++count) {
     clock.run_for(std::chrono::milliseconds(500));
     EXPECT_EQ(next(), first);
-    places.erase(places.begin());
+    slots.erase(slots.begin());
   }
 }
 
@@ -253,7 +253,7 @@
     workers.add_prompt_tokens(workers.find(first)->hash, 60000);
     second.insert(next());
     clock.run_for(std::chrono::seconds(5));
-    places.clear();
+    slots.clear();
   }
   EXPECT_EQ(second.size(), 1U);
   EXPECT_FALSE(second.contains(first));
@@ -281,7 +281,7 @@
 TEST_F(WorkerSetTest, CountsOfAServiceEqualTheSumsOverItsWorkers) {
   constexpr int kWorkers = 6;
   constexpr int kSteps = 3000;
-  std::vector<WorkerSlotPtr> places;
+  std::vector<WorkerSlotPtr> slots;
   std::map<std::string, std::shared_ptr<ServiceCounts>> counts;
   for (int step = 0; step < kSteps; ++step) {
     const std::string incarnation = "i-" + std::to_string(random.below(kWorkers));
@@ -299,14 +299,14 @@
         break;
       case 2:
       case 3:
-        if (WorkerSlotPtr place =
+        if (WorkerSlotPtr slot =
                 take(true, random.below(2) == 0 ? WorkClass::kOnline : WorkClass::kBatch)) {
-          places.push_back(std::move(place));
+          slots.push_back(std::move(slot));
         }
         break;
       case 4:
-        if (!places.empty()) {
-          places.erase(places.begin() + static_cast<ptrdiff_t>(random.below(places.size())));
+        if (!slots.empty()) {
+          slots.erase(slots.begin() + static_cast<ptrdiff_t>(random.below(slots.size())));
         }
         break;
       default:
@@ -323,8 +323,8 @@
       sums[known->record.service].own_batch += known->batch_in_flight;
       seen.insert(known.get());
     }
-    for (const WorkerSlotPtr& place : places) {  // at workers that were dropped
-      const ServingWorker& forgotten = place->worker();
+    for (const WorkerSlotPtr& slot : slots) {  // at workers that were dropped
+      const ServingWorker& forgotten = slot->worker();
       if (seen.insert(&forgotten).second) {
         sums[forgotten.record.service].online += forgotten.online_in_flight;
         sums[forgotten.record.service].own_batch += forgotten.batch_in_flight;
@@ -374,12 +374,12 @@
     workers.update(record("i-" + std::to_string(number)));
   }
   EXPECT_TRUE(workers.active_workers().empty());
-  WorkerSlotPtr place = take();
-  ServingWorker& used = place->worker();
+  WorkerSlotPtr slot = take();
+  ServingWorker& used = slot->worker();
   ASSERT_EQ(workers.active_workers().size(), 1U);
   EXPECT_EQ(workers.active_workers().begin()->second.get(), &used);
   workers.note_failure(used, clock.monotonic_now());
-  place.reset();
+  slot.reset();
   EXPECT_EQ(workers.active_workers().size(), 1U) << "peers must be told of the failure";
   clock.run_for(std::chrono::minutes(1));
   EXPECT_TRUE(workers.active_workers().empty());
@@ -390,10 +390,10 @@
   workers.update(record("i-1"));
   const MonotonicTime failed = clock.monotonic_now();
   clock.run_for(std::chrono::milliseconds(10));
-  WorkerSlotPtr place = take();
-  workers.note_success(place->worker());
-  const uint64_t hash = place->worker().hash;
-  place.reset();
+  WorkerSlotPtr slot = take();
+  workers.note_success(slot->worker());
+  const uint64_t hash = slot->worker().hash;
+  slot.reset();
   EXPECT_TRUE(workers.active_workers().empty());
   outcome_times told;
   told.failed = failed;
